--- a/packages/core/src/knapweedbridge_core/codec.py
+++ b/packages/core/src/knapweedbridge_core/codec.py
@@ -4,7 +4,8 @@
 classes whose module was imported are decoded: `messages` imports them all.
 """
 
-from typing import Any, TypeVar, dataclass_transform
+from collections.abc import Callable
+from typing import Any, TypeVar, dataclass_transform, overload
 
 import msgpack
 
@@ -13,18 +14,41 @@
 from knapweedbridge_core.records import field_count, record, values_of
 
 _CLASSES: dict[str, type] = {}
+_TAGS: dict[type, str] = {}
 _MODEL_EXTENSION = 1
 MAX_MESSAGE_BYTES = 1 << 22
 
 T = TypeVar("T")
 
 
+@overload
+def message(cls: type[T], /) -> type[T]: ...
+
+
+@overload
+def message(*, tag: str) -> Callable[[type[T]], type[T]]: ...
+
+
 @dataclass_transform(frozen_default=True)
-def message(cls: type[T]) -> type[T]:
-    """Make a class a record that is sent as a message, tagged by its class name."""
-    made = record(cls)
-    _CLASSES[made.__name__] = made
-    return made
+def message(cls: type[T] | None = None, /, *, tag: str = "") -> Any:
+    """Make a class a record that is sent as a message.
+
+    Parameters
+    ----------
+    cls : type
+        The class, where the decorator is used without arguments.
+    tag : str
+        What the message is called on the wire, which daemons of older releases know;
+        empty: the name of the class.
+    """
+
+    def register(kind: type[T]) -> type[T]:
+        made = record(kind)
+        _TAGS[made] = tag or made.__name__
+        _CLASSES[_TAGS[made]] = made
+        return made
+
+    return register if cls is None else register(cls)
 
 
 def _pack_default(value: Any) -> Any:
@@ -43,7 +67,8 @@
 def encode(sent: Any) -> bytes:
     """Encode one message."""
     values = values_of(sent)
-    return msgpack.packb([type(sent).__name__, *values], default=_pack_default)
+    tag = _TAGS.get(type(sent), type(sent).__name__)
+    return msgpack.packb([tag, *values], default=_pack_default)
 
 
 def unpacker(max_message_bytes: int = MAX_MESSAGE_BYTES) -> msgpack.Unpacker:
