--- a/bench/pool.py
+++ b/bench/pool.py
@@ -7,9 +7,9 @@
 
 from knapweedbridge_core import Bridge, Complete, events
 from knapweedbridge_core.actions import (
-    AskReport,
     Dispatch,
     OrderEndpoint,
+    RequestReport,
     SendPeer,
     StoreRead,
     StoreWrite,
@@ -119,7 +119,7 @@
         elif isinstance(action, StoreWrite):
             self.costs.store["write"] += 1
             self._queue.append((host, self._write(action)))
-        elif isinstance(action, AskReport):
+        elif isinstance(action, RequestReport):
             reported = events.EndpointReported(action.endpoint, (), {}, self.now_s)
             self._queue.append((host, reported))
         elif isinstance(action, OrderEndpoint):
--- a/features/path/steps/bridge_steps.py
+++ b/features/path/steps/bridge_steps.py
@@ -2,10 +2,10 @@
 
 from knapweedbridge_core import Bridge, Complete, events, parse_adapter_version
 from knapweedbridge_core.actions import (
-    AskReport,
     Dispatch,
     Finish,
     OrderEndpoint,
+    RequestReport,
     StoreRead,
     StoreWrite,
 )
@@ -48,7 +48,7 @@
     def _answer(self, action):
         if isinstance(action, (StoreRead, StoreWrite)):
             self.tell(events.StoreReplied(action.token, True, True, {}))
-        elif isinstance(action, AskReport):
+        elif isinstance(action, RequestReport):
             self.tell(events.EndpointReported(action.endpoint, (), {}, self.now_s))
 
     def taken(self, kind):
--- a/features/placement/steps/daemon_steps.py
+++ b/features/placement/steps/daemon_steps.py
@@ -2,10 +2,10 @@
 
 from knapweedbridge_core import Bridge, NotRun, events, rendezvous
 from knapweedbridge_core.actions import (
-    AskReport,
     Dispatch,
     Finish,
     OrderEndpoint,
+    RequestReport,
     StoreRead,
     StoreWrite,
 )
@@ -42,7 +42,7 @@
             self.actions.append(action)
             if isinstance(action, (StoreRead, StoreWrite)):
                 self.tell(events.StoreReplied(action.token, True, True, {}))
-            elif isinstance(action, AskReport):
+            elif isinstance(action, RequestReport):
                 held = self.bridge.ledgers.get(action.endpoint)
                 loaded = tuple(held.loaded) if held else ()
                 report = events.EndpointReported(
--- a/packages/core/src/knapweedbridge_core/actions.py
+++ b/packages/core/src/knapweedbridge_core/actions.py
@@ -82,7 +82,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class AskReport:
+class RequestReport:
     """Ask an endpoint for a report.
 
     Parameters
@@ -171,7 +171,7 @@
     | CancelAttempt
     | Finish
     | OrderEndpoint
-    | AskReport
+    | RequestReport
     | ProbeEndpoint
     | StoreRead
     | StoreWrite
--- a/packages/core/src/knapweedbridge_core/leaving_side.py
+++ b/packages/core/src/knapweedbridge_core/leaving_side.py
@@ -1,7 +1,7 @@
 """Sees that endpoints leave before the list shows it, and tells the peers."""
 
 from knapweedbridge_core import events, messages, rendezvous
-from knapweedbridge_core.actions import AskReport, ProbeEndpoint
+from knapweedbridge_core.actions import ProbeEndpoint, RequestReport
 from knapweedbridge_core.configuration import EndpointEntry
 from knapweedbridge_core.context import Context, Handler, Side
 from knapweedbridge_core.leaving import Sign
@@ -104,7 +104,7 @@
         if view is None or entry is None or view.owner != self._context.host:
             return
         if event.reached and not view.loaded <= set(event.loaded):
-            self._context.do(AskReport(entry.name, entry.address))
+            self._context.do(RequestReport(entry.name, entry.address))
 
     def _said(self, endpoint: str) -> None:
         new = self._note(endpoint, Sign.SAID)
--- a/packages/core/src/knapweedbridge_core/owner_side.py
+++ b/packages/core/src/knapweedbridge_core/owner_side.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from knapweedbridge_core import events, messages
-from knapweedbridge_core.actions import AskReport
+from knapweedbridge_core.actions import RequestReport
 from knapweedbridge_core.configuration import EndpointEntry
 from knapweedbridge_core.context import Context, Handler
 from knapweedbridge_core.estate import Estate, EstateSide
@@ -216,7 +216,7 @@
             return
         entry = self._context.configuration.endpoints[tenure.endpoint]
         tenure.report_asked_s = now_s
-        self._context.do(AskReport(entry.name, entry.address, tenure.number))
+        self._context.do(RequestReport(entry.name, entry.address, tenure.number))
 
     def _publish_if_due(self, tenure: Tenure) -> None:
         running = tenure.ledger.running
--- a/packages/daemon/src/knapweedbridge_daemon/driver.py
+++ b/packages/daemon/src/knapweedbridge_daemon/driver.py
@@ -11,7 +11,6 @@
 
 from knapweedbridge_core import Bridge, events
 from knapweedbridge_core.actions import (
-    AskReport,
     CancelAttempt,
     ClaimTimer,
     ClaimWrite,
@@ -21,6 +20,7 @@
     OrderEndpoint,
     ProbeEndpoint,
     Record,
+    RequestReport,
     Resume,
     SendPeer,
     StoreRead,
@@ -87,7 +87,7 @@
             ClaimTimer: lambda action: self._start(self._time_claims, action),
             CancelAttempt: lambda action: self._start(self._cancel, action),
             OrderEndpoint: lambda action: self._start(self._order, action),
-            AskReport: lambda action: self._start(self._report, action),
+            RequestReport: lambda action: self._start(self._report, action),
             ProbeEndpoint: lambda action: self._start(self._probe, action),
             StoreRead: lambda action: self._start(self._read, action),
             StoreWrite: lambda action: self._start(self._write, action),
@@ -215,7 +215,7 @@
         )
         await self.submit(ended)
 
-    async def _report(self, action: AskReport) -> None:
+    async def _report(self, action: RequestReport) -> None:
         asked_s = time.monotonic()
         try:
             endpoint = HttpEndpoint(self._client, action.address)
--- a/packages/standins/src/knapweedbridge_standins/history/world.py
+++ b/packages/standins/src/knapweedbridge_standins/history/world.py
@@ -20,12 +20,12 @@
     events,
 )
 from knapweedbridge_core.actions import (
-    AskReport,
     CancelAttempt,
     Dispatch,
     Finish,
     OrderEndpoint,
     Record,
+    RequestReport,
     Resume,
     SendPeer,
     StoreRead,
@@ -133,7 +133,7 @@
             Dispatch: self._dispatch,
             Finish: self._finish,
             OrderEndpoint: self._order,
-            AskReport: self._report,
+            RequestReport: self._report,
             CancelAttempt: self._cancel,
             Resume: self._resume,
             StoreRead: self._call_store,
@@ -400,7 +400,7 @@
 
         self.after(engine.load_s, end)
 
-    def _report(self, host: str, action: AskReport) -> None:
+    def _report(self, host: str, action: RequestReport) -> None:
         node = self.nodes[host]
         engine = self.engines[action.endpoint]
         asked_s = node.clock_s(self.now_s)
--- a/packages/standins/src/knapweedbridge_standins/virtual_pool.py
+++ b/packages/standins/src/knapweedbridge_standins/virtual_pool.py
@@ -8,12 +8,12 @@
 
 from knapweedbridge_core import Bridge, events
 from knapweedbridge_core.actions import (
-    AskReport,
     CancelAttempt,
     Dispatch,
     Finish,
     OrderEndpoint,
     ProbeEndpoint,
+    RequestReport,
     SendPeer,
     StoreRead,
     StoreWrite,
@@ -204,7 +204,7 @@
             Dispatch: self._dispatch,
             Finish: self._finish,
             OrderEndpoint: self._order,
-            AskReport: self._report,
+            RequestReport: self._report,
             ProbeEndpoint: self._probe,
             CancelAttempt: self._cancel,
             StoreRead: self._call_store,
@@ -284,7 +284,7 @@
 
         self.clock.after(LOAD_S if action.kind == "load" else WIRE_S, carry_out)
 
-    def _report(self, host: str, action: AskReport) -> None:
+    def _report(self, host: str, action: RequestReport) -> None:
         engine = self.engines[action.endpoint]
         if not engine.up:
             self.clock.after(1.0, lambda: self._report(host, action))
