--- a/bench/pool.py
+++ b/bench/pool.py
@@ -77,7 +77,7 @@
         for name in names:
             for other in names:
                 if other != name:
-                    self.tell(name, events.PeerLinked(other))
+                    self.tell(name, events.PeerConnected(other))
             self.tell(name, events.ConfigurationRead(configuration))
 
     def list_hosts(self) -> None:
--- a/features/attempts/steps/claim_steps.py
+++ b/features/attempts/steps/claim_steps.py
@@ -64,7 +64,7 @@
             self.tell(name, events.HostsListed(listed))
             for peer in HOSTS:
                 if peer != name:
-                    self.tell(name, events.PeerLinked(peer))
+                    self.tell(name, events.PeerConnected(peer))
             self.tick(name)
         self.run_until(self.now_s + MEET_S)
 
--- a/features/attempts/steps/core_steps.py
+++ b/features/attempts/steps/core_steps.py
@@ -53,7 +53,7 @@
         ]
         self.tell(events.HostsListed(tuple(peers)))
         for peer in peers:
-            self.tell(events.PeerLinked(peer.name))
+            self.tell(events.PeerConnected(peer.name))
         self.owned_by("host-1", 1)
 
     def given(self, ask):
--- a/features/members/steps/stream_steps.py
+++ b/features/members/steps/stream_steps.py
@@ -6,7 +6,7 @@
 from anyio.abc import SocketAttribute
 from behave import given, then, when
 
-from knapweedbridge_core.events import PeerHeard, PeerLinked, PeerUnlinked
+from knapweedbridge_core.events import PeerConnected, PeerHeard, PeerUnlinked
 from knapweedbridge_core.messages import MAX_MESSAGE_BYTES, ProbeAsk
 from knapweedbridge_daemon import peers as peers_module
 from knapweedbridge_daemon.handshake import Handshake
@@ -42,7 +42,7 @@
     async def _submit(self, event):
         kinds = {
             PeerHeard: self.heard,
-            PeerLinked: self.linked,
+            PeerConnected: self.linked,
             PeerUnlinked: self.unlinked,
         }
         kinds[type(event)].append(event)
--- a/features/overload/steps/blame_steps.py
+++ b/features/overload/steps/blame_steps.py
@@ -87,7 +87,7 @@
     bridge = context.pool.bridges["host-2"]
     bridge.blame.clear("crash")
     for peer in ("host-0", "host-1"):
-        context.pool.tell(peer, events.PeerLinked("host-2"))
+        context.pool.tell(peer, events.PeerConnected("host-2"))
     context.pool.clock.run(0.1)
 
 
--- a/packages/core/src/knapweedbridge_core/blame_side.py
+++ b/packages/core/src/knapweedbridge_core/blame_side.py
@@ -47,7 +47,7 @@
         """See `Side.handlers`."""
         return {
             events.Tick: self._tick,
-            events.PeerLinked: self._peer_linked,
+            events.PeerConnected: self._peer_linked,
             events.AttemptJudged: self._attempt_judged,
             events.EndpointProbed: self._probed,
             messages.BlameTold: self._told,
@@ -145,7 +145,7 @@
     def _cleared(self, message: messages.BlameCleared) -> None:
         self.blame.clear(message.fingerprint)
 
-    def _peer_linked(self, event: events.PeerLinked) -> None:
+    def _peer_linked(self, event: events.PeerConnected) -> None:
         for fingerprint, loss_id, loss in self.blame.entries():
             age_s = self._context.now_s - loss.at_s
             told = messages.BlameTold(
--- a/packages/core/src/knapweedbridge_core/events.py
+++ b/packages/core/src/knapweedbridge_core/events.py
@@ -6,7 +6,7 @@
 from knapweedbridge_core.names import AdapterVersion
 from knapweedbridge_core.outcomes import Outcome
 from knapweedbridge_core.parts import Parts, Root
-from knapweedbridge_core.peer_events import PeerHeard, PeerLinked, PeerUnlinked
+from knapweedbridge_core.peer_events import PeerConnected, PeerHeard, PeerUnlinked
 from knapweedbridge_core.rules import WithoutKey
 
 __all__ = [
@@ -29,7 +29,7 @@
     "OrderEnded",
     "PartsRead",
     "PeerHeard",
-    "PeerLinked",
+    "PeerConnected",
     "PeerUnlinked",
     "Request",
     "RequestArrived",
--- a/packages/core/src/knapweedbridge_core/leaving_side.py
+++ b/packages/core/src/knapweedbridge_core/leaving_side.py
@@ -32,7 +32,7 @@
             events.AttemptJudged: self._attempt_judged,
             events.EndpointProbed: self._probed,
             events.EndpointDrained: self._drained,
-            events.PeerLinked: self._peer_linked,
+            events.PeerConnected: self._peer_linked,
             messages.LeavingTold: self._told,
         }
 
@@ -138,7 +138,7 @@
         else:
             self._context.leaving.clear(message.endpoint)
 
-    def _peer_linked(self, event: events.PeerLinked) -> None:
+    def _peer_linked(self, event: events.PeerConnected) -> None:
         for endpoint, sign in self._context.leaving.signs():
             ordered = sign is Sign.ORDERED
             self._context.send(
--- a/packages/core/src/knapweedbridge_core/member_side.py
+++ b/packages/core/src/knapweedbridge_core/member_side.py
@@ -37,7 +37,7 @@
             events.GenerationTaken: self._generation_taken,
             events.GenerationsAsked: self._generations_asked,
             events.HostsListed: self._hosts_listed,
-            events.PeerLinked: self._peer_linked,
+            events.PeerConnected: self._peer_linked,
             events.PeerUnlinked: self._peer_unlinked,
             events.PeerHeard: self._peer_heard,
             messages.Heartbeat: self._heartbeat,
@@ -136,7 +136,7 @@
             if host.kind == "endpoint" and host.leaving
         }
 
-    def _peer_linked(self, event: events.PeerLinked) -> None:
+    def _peer_linked(self, event: events.PeerConnected) -> None:
         member = self._context.members.get(event.host)
         if member is not None and member.state.status == Status.UNKNOWN:
             self._take(MemberState(member.name, 0, 0, Status.ALIVE))
--- a/packages/core/src/knapweedbridge_core/operator_side.py
+++ b/packages/core/src/knapweedbridge_core/operator_side.py
@@ -25,12 +25,12 @@
     def handlers(self) -> dict[type, Handler]:
         """See `Side.handlers`."""
         return {
-            events.PeerLinked: self._peer_linked,
+            events.PeerConnected: self._peer_linked,
             events.HostsListed: self._hosts_listed,
             messages.Introduction: self._introduction,
         }
 
-    def _peer_linked(self, event: events.PeerLinked) -> None:
+    def _peer_linked(self, event: events.PeerConnected) -> None:
         introduction = messages.Introduction(self.own_administration)
         self._context.send(event.host, introduction)
 
--- a/packages/core/src/knapweedbridge_core/owner_side.py
+++ b/packages/core/src/knapweedbridge_core/owner_side.py
@@ -44,7 +44,7 @@
         return {
             events.Tick: self._tick,
             events.DrainBegan: self._drain_began,
-            events.PeerLinked: self._peer_linked,
+            events.PeerConnected: self._peer_linked,
             events.PeerHeard: self._peer_heard,
             events.StoreReplied: self._store_replied,
             events.EndpointReported: self._endpoint_reported,
@@ -229,7 +229,7 @@
     def _peer_heard(self, event: events.PeerHeard) -> None:
         self._estate.heard(event.host)
 
-    def _peer_linked(self, event: events.PeerLinked) -> None:
+    def _peer_linked(self, event: events.PeerConnected) -> None:
         for tenure in self.tenures.values():
             tenure.published_s = -inf
 
--- a/packages/core/src/knapweedbridge_core/peer_events.py
+++ b/packages/core/src/knapweedbridge_core/peer_events.py
@@ -5,7 +5,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class PeerLinked:
+class PeerConnected:
     """A stream to a peer stands."""
 
     host: str
--- a/packages/daemon/src/knapweedbridge_daemon/peers.py
+++ b/packages/daemon/src/knapweedbridge_daemon/peers.py
@@ -20,7 +20,7 @@
 from knapweedbridge_core.addresses import split_address
 from knapweedbridge_core.codec import decode, encode, unpacker
 from knapweedbridge_core.errors import MessageError, UnknownMessageError
-from knapweedbridge_core.peer_events import PeerHeard, PeerLinked, PeerUnlinked
+from knapweedbridge_core.peer_events import PeerConnected, PeerHeard, PeerUnlinked
 from knapweedbridge_core.serving.tunnel_messages import TunnelAsked
 from knapweedbridge_core.timeline import HybridClock
 from knapweedbridge_daemon.errors import PeerError
@@ -177,7 +177,7 @@
                 await self._handshake.greet(stream, link.host)
             link.stands = True
             link.unanswered_since_s = None
-            await self._submit(PeerLinked(link.host))
+            await self._submit(PeerConnected(link.host))
             await self._use(link, stream)
 
     async def _use(self, link: LinkOut, stream: PeerSocket) -> None:
--- a/packages/standins/src/knapweedbridge_standins/history/world.py
+++ b/packages/standins/src/knapweedbridge_standins/history/world.py
@@ -301,7 +301,7 @@
                 self._heard_s[pair] = self.now_s
             if open_now and pair not in self._links:
                 self._links.add(pair)
-                self.tell(pair[0], events.PeerLinked(pair[1]))
+                self.tell(pair[0], events.PeerConnected(pair[1]))
             elif not open_now and self._is_silent(pair):
                 self._links.discard(pair)
                 self.tell(pair[0], events.PeerUnlinked(pair[1]))
--- a/packages/standins/src/knapweedbridge_standins/virtual_pool.py
+++ b/packages/standins/src/knapweedbridge_standins/virtual_pool.py
@@ -218,7 +218,7 @@
             self.tell(host, events.HostsListed(self.listed))
             for peer in self.hosts:
                 if peer != host:
-                    self.tell(host, events.PeerLinked(peer))
+                    self.tell(host, events.PeerConnected(peer))
             self._tick(host)
         self.clock.run(2.0)
 
