--- a/features/attempts/steps/claim_steps.py
+++ b/features/attempts/steps/claim_steps.py
@@ -145,7 +145,7 @@
     def kill(self, host):
         del self.cores[host]
         for peer in list(self.cores):
-            self.tell(peer, events.PeerUnlinked(host))
+            self.tell(peer, events.PeerDisconnected(host))
 
     def ask(self, request_id, host, key="k", body="b", **fields):
         self.keys[request_id] = key
--- a/features/members/steps/stream_steps.py
+++ b/features/members/steps/stream_steps.py
@@ -6,7 +6,7 @@
 from anyio.abc import SocketAttribute
 from behave import given, then, when
 
-from knapweedbridge_core.events import PeerConnected, PeerHeard, PeerUnlinked
+from knapweedbridge_core.events import PeerConnected, PeerDisconnected, PeerHeard
 from knapweedbridge_core.messages import MAX_MESSAGE_BYTES, ProbeAsk
 from knapweedbridge_daemon import peers as peers_module
 from knapweedbridge_daemon.handshake import Handshake
@@ -43,7 +43,7 @@
         kinds = {
             PeerHeard: self.heard,
             PeerConnected: self.linked,
-            PeerUnlinked: self.unlinked,
+            PeerDisconnected: self.unlinked,
         }
         kinds[type(event)].append(event)
 
--- a/packages/core/src/knapweedbridge_core/events.py
+++ b/packages/core/src/knapweedbridge_core/events.py
@@ -6,7 +6,7 @@
 from knapweedbridge_core.names import AdapterVersion
 from knapweedbridge_core.outcomes import Outcome
 from knapweedbridge_core.parts import Parts, Root
-from knapweedbridge_core.peer_events import PeerConnected, PeerHeard, PeerUnlinked
+from knapweedbridge_core.peer_events import PeerConnected, PeerDisconnected, PeerHeard
 from knapweedbridge_core.rules import WithoutKey
 
 __all__ = [
@@ -30,7 +30,7 @@
     "PartsRead",
     "PeerHeard",
     "PeerConnected",
-    "PeerUnlinked",
+    "PeerDisconnected",
     "Request",
     "RequestArrived",
     "RootSeen",
--- a/packages/core/src/knapweedbridge_core/member_side.py
+++ b/packages/core/src/knapweedbridge_core/member_side.py
@@ -38,7 +38,7 @@
             events.GenerationsAsked: self._generations_asked,
             events.HostsListed: self._hosts_listed,
             events.PeerConnected: self._peer_linked,
-            events.PeerUnlinked: self._peer_unlinked,
+            events.PeerDisconnected: self._peer_unlinked,
             events.PeerHeard: self._peer_heard,
             messages.Heartbeat: self._heartbeat,
             messages.MembersAsk: self._members_ask,
@@ -142,7 +142,7 @@
             self._take(MemberState(member.name, 0, 0, Status.ALIVE))
         self._context.record("peer.linked", peer=event.host)
 
-    def _peer_unlinked(self, event: events.PeerUnlinked) -> None:
+    def _peer_unlinked(self, event: events.PeerDisconnected) -> None:
         self._context.record("peer.unlinked", peer=event.host)
         member = self._context.members.get(event.host)
         if member is not None and member.linked:
--- a/packages/core/src/knapweedbridge_core/peer_events.py
+++ b/packages/core/src/knapweedbridge_core/peer_events.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class PeerUnlinked:
+class PeerDisconnected:
     """No stream to the peer stands."""
 
     host: str
--- a/packages/daemon/src/knapweedbridge_daemon/peers.py
+++ b/packages/daemon/src/knapweedbridge_daemon/peers.py
@@ -20,7 +20,7 @@
 from knapweedbridge_core.addresses import split_address
 from knapweedbridge_core.codec import decode, encode, unpacker
 from knapweedbridge_core.errors import MessageError, UnknownMessageError
-from knapweedbridge_core.peer_events import PeerConnected, PeerHeard, PeerUnlinked
+from knapweedbridge_core.peer_events import PeerConnected, PeerDisconnected, PeerHeard
 from knapweedbridge_core.serving.tunnel_messages import TunnelAsked
 from knapweedbridge_core.timeline import HybridClock
 from knapweedbridge_daemon.errors import PeerError
@@ -161,7 +161,7 @@
                 return True
             self._forget(link)
             self._failed_s[link.host] = _now_s()
-            await self._submit(PeerUnlinked(link.host))
+            await self._submit(PeerDisconnected(link.host))
         return False
 
     def _forget(self, link: LinkOut) -> None:
--- a/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
@@ -6,7 +6,7 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from knapweedbridge_core.peer_events import PeerHeard, PeerUnlinked
+from knapweedbridge_core.peer_events import PeerDisconnected, PeerHeard
 from knapweedbridge_core.serving import Endpoint, understands
 from knapweedbridge_core.serving.messages import (
     EngineAsked,
@@ -147,7 +147,7 @@
     async def _submit(self, event: Any) -> None:
         if isinstance(event, PeerHeard):
             await self._take(event.host, event.message)
-        elif isinstance(event, PeerUnlinked):
+        elif isinstance(event, PeerDisconnected):
             self._hub.log.info("peer.unlinked", peer=event.host)
 
     async def _take(self, daemon: str, message: Any) -> None:
--- a/packages/standins/src/knapweedbridge_standins/history/world.py
+++ b/packages/standins/src/knapweedbridge_standins/history/world.py
@@ -304,7 +304,7 @@
                 self.tell(pair[0], events.PeerConnected(pair[1]))
             elif not open_now and self._is_silent(pair):
                 self._links.discard(pair)
-                self.tell(pair[0], events.PeerUnlinked(pair[1]))
+                self.tell(pair[0], events.PeerDisconnected(pair[1]))
 
     def _is_silent(self, pair: tuple[str, str]) -> bool:
         silent_s = self.now_s - self._heard_s.get(pair, 0.0)
--- a/packages/standins/src/knapweedbridge_standins/pool.py
+++ b/packages/standins/src/knapweedbridge_standins/pool.py
@@ -244,7 +244,7 @@
     def _unlink(self, host: str, peer: str) -> None:
         node = self.nodes[host]
         node.traffic.peers.discard(peer)
-        unlinked = events.PeerUnlinked(peer)
+        unlinked = events.PeerDisconnected(peer)
         self.after(REFUSED_S, lambda: self._take(host, node, unlinked))
 
     # -- service ------------------------------------------------------------
