--- a/bench/peer_messages.py
+++ b/bench/peer_messages.py
@@ -24,7 +24,7 @@
 import anyio
 
 from knapweedbridge_core.codec import decode, encode, unpacker
-from knapweedbridge_core.peer_events import PeerHeard
+from knapweedbridge_core.peer_events import PeerMessage
 from knapweedbridge_core.serving import (
     CallKind,
     DaemonRecord,
@@ -251,7 +251,7 @@
     heard = asyncio.Event()
 
     async def submit(event: Any) -> None:
-        if isinstance(event, PeerHeard):
+        if isinstance(event, PeerMessage):
             heard.set()
 
     async def passed() -> None:
--- a/bench/pool.py
+++ b/bench/pool.py
@@ -93,7 +93,7 @@
 
     def _handle(self, host: str, event: Any) -> None:
         kind = type(event).__name__
-        if isinstance(event, events.PeerHeard):
+        if isinstance(event, events.PeerMessage):
             kind = type(event.message).__name__
         started_s = time.perf_counter()
         actions = self.cores[host].handle(event, self.now_s)
@@ -107,7 +107,7 @@
             kind = type(action.message).__name__
             self.costs.sent[kind] += 1
             self.costs.sent_bytes[kind] += len(encode(action.message))
-            heard = events.PeerHeard(host, action.message)
+            heard = events.PeerMessage(host, action.message)
             self._queue.append((action.host, heard))
         elif isinstance(action, StoreRead):
             self.costs.store["read"] += 1
--- a/features/attempts/steps/claim_steps.py
+++ b/features/attempts/steps/claim_steps.py
@@ -92,7 +92,7 @@
 
     def act(self, host, action):
         if isinstance(action, SendPeer):
-            heard = events.PeerHeard(host, action.message)
+            heard = events.PeerMessage(host, action.message)
             self.tell_later(PEER_S, action.host, heard)
         elif isinstance(action, ClaimTimer):
             self.tell_later(action.delay_s, host, events.ClaimsDue())
--- a/features/attempts/steps/core_steps.py
+++ b/features/attempts/steps/core_steps.py
@@ -68,7 +68,7 @@
         self.actions += self.bridge.handle(event, self.now_s)
 
     def hear(self, peer, message):
-        self.tell(events.PeerHeard(peer, message))
+        self.tell(events.PeerMessage(peer, message))
 
     def taken(self, kind):
         return [action for action in self.actions if isinstance(action, kind)]
--- a/features/members/steps/stream_steps.py
+++ b/features/members/steps/stream_steps.py
@@ -6,7 +6,7 @@
 from anyio.abc import SocketAttribute
 from behave import given, then, when
 
-from knapweedbridge_core.events import PeerConnected, PeerDisconnected, PeerHeard
+from knapweedbridge_core.events import PeerConnected, PeerDisconnected, PeerMessage
 from knapweedbridge_core.messages import MAX_MESSAGE_BYTES, ProbeAsk
 from knapweedbridge_daemon import peers as peers_module
 from knapweedbridge_daemon.handshake import Handshake
@@ -41,7 +41,7 @@
 
     async def _submit(self, event):
         kinds = {
-            PeerHeard: self.heard,
+            PeerMessage: self.heard,
             PeerConnected: self.linked,
             PeerDisconnected: self.unlinked,
         }
--- a/packages/core/src/knapweedbridge_core/events.py
+++ b/packages/core/src/knapweedbridge_core/events.py
@@ -6,7 +6,7 @@
 from knapweedbridge_core.names import AdapterVersion
 from knapweedbridge_core.outcomes import Outcome
 from knapweedbridge_core.parts import Parts, Root
-from knapweedbridge_core.peer_events import PeerConnected, PeerDisconnected, PeerHeard
+from knapweedbridge_core.peer_events import PeerConnected, PeerDisconnected, PeerMessage
 from knapweedbridge_core.rules import WithoutKey
 
 __all__ = [
@@ -28,7 +28,7 @@
     "ListedHost",
     "OrderEnded",
     "PartsRead",
-    "PeerHeard",
+    "PeerMessage",
     "PeerConnected",
     "PeerDisconnected",
     "Request",
--- a/packages/core/src/knapweedbridge_core/member_side.py
+++ b/packages/core/src/knapweedbridge_core/member_side.py
@@ -39,7 +39,7 @@
             events.HostsListed: self._hosts_listed,
             events.PeerConnected: self._peer_linked,
             events.PeerDisconnected: self._peer_unlinked,
-            events.PeerHeard: self._peer_heard,
+            events.PeerMessage: self._peer_heard,
             messages.Heartbeat: self._heartbeat,
             messages.MembersAsk: self._members_ask,
             messages.MembersTold: self._members_told,
@@ -148,7 +148,7 @@
         if member is not None and member.linked:
             self._suspicions.open(event.host)
 
-    def _peer_heard(self, event: events.PeerHeard) -> None:
+    def _peer_heard(self, event: events.PeerMessage) -> None:
         self._suspicions.heard(event.host)
         self._context.receive(event.host, event.message)
 
--- a/packages/core/src/knapweedbridge_core/owner_side.py
+++ b/packages/core/src/knapweedbridge_core/owner_side.py
@@ -45,7 +45,7 @@
             events.Tick: self._tick,
             events.DrainBegan: self._drain_began,
             events.PeerConnected: self._peer_linked,
-            events.PeerHeard: self._peer_heard,
+            events.PeerMessage: self._peer_heard,
             events.StoreReplied: self._store_replied,
             events.EndpointReported: self._endpoint_reported,
             messages.SlotsChanged: self._slots_changed,
@@ -226,7 +226,7 @@
         if moved or stale or tenure.published != self._estate.grantable(tenure):
             self._estate.publish(tenure)
 
-    def _peer_heard(self, event: events.PeerHeard) -> None:
+    def _peer_heard(self, event: events.PeerMessage) -> None:
         self._estate.heard(event.host)
 
     def _peer_linked(self, event: events.PeerConnected) -> None:
--- a/packages/core/src/knapweedbridge_core/peer_events.py
+++ b/packages/core/src/knapweedbridge_core/peer_events.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class PeerHeard:
+class PeerMessage:
     """A peer sent a message."""
 
     host: str
--- a/packages/daemon/src/knapweedbridge_daemon/peers.py
+++ b/packages/daemon/src/knapweedbridge_daemon/peers.py
@@ -20,7 +20,7 @@
 from knapweedbridge_core.addresses import split_address
 from knapweedbridge_core.codec import decode, encode, unpacker
 from knapweedbridge_core.errors import MessageError, UnknownMessageError
-from knapweedbridge_core.peer_events import PeerConnected, PeerDisconnected, PeerHeard
+from knapweedbridge_core.peer_events import PeerConnected, PeerDisconnected, PeerMessage
 from knapweedbridge_core.serving.tunnel_messages import TunnelAsked
 from knapweedbridge_core.timeline import HybridClock
 from knapweedbridge_daemon.errors import PeerError
@@ -320,7 +320,7 @@
                         continue
                     if isinstance(message, TunnelAsked):
                         return message
-                    await self._submit(PeerHeard(host, message))
+                    await self._submit(PeerMessage(host, message))
             except (MessageError, msgpack.UnpackException, ValueError) as error:
                 raise PeerError(f"{host} sent no message of ours") from error
             each.owes_answer = True
--- a/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
@@ -6,7 +6,7 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from knapweedbridge_core.peer_events import PeerDisconnected, PeerHeard
+from knapweedbridge_core.peer_events import PeerDisconnected, PeerMessage
 from knapweedbridge_core.serving import Endpoint, understands
 from knapweedbridge_core.serving.messages import (
     EngineAsked,
@@ -145,7 +145,7 @@
             await self._hub.beliefs_changed.wait(5.0)
 
     async def _submit(self, event: Any) -> None:
-        if isinstance(event, PeerHeard):
+        if isinstance(event, PeerMessage):
             await self._take(event.host, event.message)
         elif isinstance(event, PeerDisconnected):
             self._hub.log.info("peer.unlinked", peer=event.host)
--- a/packages/standins/src/knapweedbridge_standins/configuration_history.py
+++ b/packages/standins/src/knapweedbridge_standins/configuration_history.py
@@ -114,7 +114,7 @@
                 self.held_back.append((sender, action))
             elif frozenset((sender, action.host)) not in self.cuts:
                 message = self._damaged(action.message)
-                self._tell(action.host, events.PeerHeard(sender, message))
+                self._tell(action.host, events.PeerMessage(sender, message))
         raise AssertionError("the messages never end")
 
     def _damaged(self, message: Any) -> Any:
--- a/packages/standins/src/knapweedbridge_standins/history/world.py
+++ b/packages/standins/src/knapweedbridge_standins/history/world.py
@@ -320,7 +320,7 @@
         arrival_s = max(self.now_s + self._delay_s(), self._arrival_s.get(pair, 0.0))
         self._arrival_s[pair] = arrival_s
         node = self.nodes[action.host]
-        heard = events.PeerHeard(host, action.message)
+        heard = events.PeerMessage(host, action.message)
         self.at(arrival_s, lambda: self._take(action.host, node, heard))
 
     # -- service ------------------------------------------------------------
--- a/packages/standins/src/knapweedbridge_standins/pool.py
+++ b/packages/standins/src/knapweedbridge_standins/pool.py
@@ -236,7 +236,7 @@
         delay_s = self._rng.uniform(*DELAY_S)
         arrival_s = max(self.now_s + delay_s, self._arrival_s.get(pair, 0.0))
         self._arrival_s[pair] = arrival_s
-        heard = events.PeerHeard(host, action.message)
+        heard = events.PeerMessage(host, action.message)
         self.after(
             arrival_s - self.now_s, lambda: self._take(action.host, receiver, heard)
         )
--- a/packages/standins/src/knapweedbridge_standins/virtual_pool.py
+++ b/packages/standins/src/knapweedbridge_standins/virtual_pool.py
@@ -252,7 +252,7 @@
         self.engines[engine].loaded.add(model)
 
     def _send(self, host: str, action: SendPeer) -> None:
-        self._later(WIRE_S, action.host, events.PeerHeard(host, action.message))
+        self._later(WIRE_S, action.host, events.PeerMessage(host, action.message))
 
     def _dispatch(self, host: str, action: Dispatch) -> None:
         self.dispatches += 1
