--- a/packages/core/src/knapweedbridge_core/member_side.py
+++ b/packages/core/src/knapweedbridge_core/member_side.py
@@ -4,7 +4,7 @@
 from knapweedbridge_core.context import Context, Handler, Side
 from knapweedbridge_core.deltas import Deltas
 from knapweedbridge_core.members import Member, MemberState, Status
-from knapweedbridge_core.suspicions import Suspicions
+from knapweedbridge_core.suspicions import FailureDetector
 
 SYNC_PAUSE_S = 5.0
 SYNC_WAIT_S = 2.0
@@ -19,7 +19,7 @@
         super().__init__(context)
         self._own = MemberState(context.host, context.incarnation, 0, Status.ALIVE)
         self._deltas = Deltas()
-        self._suspicions = Suspicions(context, self._declare_dead)
+        self._suspicions = FailureDetector(context, self._declare_dead)
         self._ticked_s: float | None = None
         self._differs_since_s: float | None = None
         self._synced_s = -SYNC_PAUSE_S
--- a/packages/core/src/knapweedbridge_core/suspicions.py
+++ b/packages/core/src/knapweedbridge_core/suspicions.py
@@ -9,7 +9,7 @@
 ANSWER_SHARE = 0.5
 
 
-class Suspicions:
+class FailureDetector:
     """Notices silence of neighbours and has it confirmed by others.
 
     Parameters
