--- a/packages/core/src/knapweedbridge_core/blame_side.py
+++ b/packages/core/src/knapweedbridge_core/blame_side.py
@@ -67,7 +67,7 @@
     def _clear(self, fingerprint: str) -> None:
         if self.blame.clear(fingerprint):
             self._context.record("blame.cleared", fingerprint=fingerprint)
-            self._context.tell_peers(messages.BlameCleared(fingerprint))
+            self._context.broadcast(messages.BlameCleared(fingerprint))
 
     def _suspect(self, request: events.Request, loss_id: str, endpoint: str) -> None:
         # An endpoint that said it was leaving ended on purpose.
@@ -121,7 +121,7 @@
         self, fingerprint: str, loss_id: str, endpoint: str, state: LossState
     ) -> None:
         told = messages.BlameTold(fingerprint, loss_id, endpoint, state.value, 0.0)
-        self._context.tell_peers(told)
+        self._context.broadcast(told)
         self._context.record(
             f"blame.{state.value}", fingerprint=fingerprint, endpoint=endpoint
         )
--- a/packages/core/src/knapweedbridge_core/context.py
+++ b/packages/core/src/knapweedbridge_core/context.py
@@ -107,7 +107,7 @@
         else:
             self.do(SendPeer(host, message))
 
-    def tell_peers(self, message: Any) -> None:
+    def broadcast(self, message: Any) -> None:
         """Send a message to every peer with a stream."""
         for peer in self.members.peers():
             self.do(SendPeer(peer.name, message))
--- a/packages/core/src/knapweedbridge_core/leaving_side.py
+++ b/packages/core/src/knapweedbridge_core/leaving_side.py
@@ -94,7 +94,7 @@
         if self._context.leaving.clear(endpoint):
             self._context.record("endpoint.stays", endpoint=endpoint)
             told = messages.LeavingTold(endpoint, False, False)
-            self._context.tell_peers(told)
+            self._context.broadcast(told)
 
     def _check_slots(self, event: events.EndpointProbed) -> None:
         # An engine that restarted is cold: its owner would give grants on slots
@@ -111,7 +111,7 @@
         told_s = self._told_s.get(endpoint, -RETELL_S)
         if new or self._context.now_s - told_s >= RETELL_S:
             self._told_s[endpoint] = self._context.now_s
-            self._context.tell_peers(messages.LeavingTold(endpoint, True, False))
+            self._context.broadcast(messages.LeavingTold(endpoint, True, False))
 
     def _note(self, endpoint: str, sign: Sign) -> bool:
         new = self._context.leaving.note(endpoint, sign, self._context.now_s)
@@ -122,7 +122,7 @@
     def _drained(self, event: events.EndpointDrained) -> None:
         self._order(event.endpoint, event.drained)
         told = messages.LeavingTold(event.endpoint, event.drained, True)
-        self._context.tell_peers(told)
+        self._context.broadcast(told)
 
     def _order(self, endpoint: str, drained: bool) -> None:
         if drained:
