--- a/packages/core/src/knapweedbridge_core/grant_gate.py
+++ b/packages/core/src/knapweedbridge_core/grant_gate.py
@@ -6,7 +6,7 @@
 from knapweedbridge_core.outcomes import Reason
 
 
-class GrantGate:
+class GrantAdmission:
     """Refuses grants for reasons that have nothing to do with slots."""
 
     def __init__(self, context: Context) -> None:
--- a/packages/core/src/knapweedbridge_core/grant_side.py
+++ b/packages/core/src/knapweedbridge_core/grant_side.py
@@ -7,7 +7,7 @@
 from knapweedbridge_core.actions import StoreRead
 from knapweedbridge_core.context import Context, Handler
 from knapweedbridge_core.estate import Estate, EstateSide
-from knapweedbridge_core.grant_gate import GrantGate
+from knapweedbridge_core.grant_gate import GrantAdmission
 from knapweedbridge_core.leases import LIFE_KEY
 from knapweedbridge_core.outcomes import Reason
 from knapweedbridge_core.tenure import Tenure
@@ -37,7 +37,7 @@
 
     def __init__(self, context: Context, estate: Estate) -> None:
         super().__init__(context, estate)
-        self._gate = GrantGate(context)
+        self._gate = GrantAdmission(context)
         self._asks: dict[_Key, _Ask] = {}
         self._polled_s: dict[str, float] = {}
 
