--- a/features/admission/steps/judgement_steps.py
+++ b/features/admission/steps/judgement_steps.py
@@ -6,7 +6,6 @@
 from knapweedbridge_core.serving import (
     Admit,
     AdmitAll,
-    CallerCase,
     CallKind,
     Endpoint,
     EndpointRecord,
@@ -14,6 +13,7 @@
     ModelRef,
     NoEngine,
     OverdueLast,
+    PendingRequest,
     Reject,
     Route,
     SendTo,
@@ -55,7 +55,7 @@
     route = Route("draft", "", "/", CallKind.STREAM, (), 15.0, 1.0, urgency=rank)
     received_s = NOW_S - here_s
     deadline_s = received_s + left_s
-    return CallerCase(key, route, received_s, deadline_s, spent_s, **more)
+    return PendingRequest(key, route, received_s, deadline_s, spent_s, **more)
 
 
 def told(verdict):
--- a/packages/core/src/knapweedbridge_core/serving/__init__.py
+++ b/packages/core/src/knapweedbridge_core/serving/__init__.py
@@ -26,7 +26,7 @@
     fingerprint,
     refusal_keepers,
 )
-from knapweedbridge_core.serving.caller_wait import CallerCase, UsualDeadlines
+from knapweedbridge_core.serving.caller_wait import PendingRequest, UsualDeadlines
 from knapweedbridge_core.serving.crash_parts import PartLedger
 from knapweedbridge_core.serving.crashes import CrashLedger
 from knapweedbridge_core.serving.deployment import (
@@ -143,7 +143,7 @@
     "Beliefs",
     "CallKind",
     "CallProgress",
-    "CallerCase",
+    "PendingRequest",
     "ClientAccount",
     "CrashLedger",
     "DaemonRecord",
--- a/packages/core/src/knapweedbridge_core/serving/caller_wait.py
+++ b/packages/core/src/knapweedbridge_core/serving/caller_wait.py
@@ -125,7 +125,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class CallerCase:
+class PendingRequest:
     """One request, by what its caller has waited and will wait.
 
     Parameters
--- a/packages/core/src/knapweedbridge_core/serving/overload.py
+++ b/packages/core/src/knapweedbridge_core/serving/overload.py
@@ -11,7 +11,7 @@
 from collections import OrderedDict
 from dataclasses import dataclass
 
-from knapweedbridge_core.serving.caller_wait import CallerCase
+from knapweedbridge_core.serving.caller_wait import PendingRequest
 from knapweedbridge_core.serving.endpoint import Endpoint
 from knapweedbridge_core.serving.placement_choices import (
     Choice,
@@ -116,21 +116,21 @@
     """Decides what becomes of requests that engines cannot answer in time."""
 
     @abstractmethod
-    def is_overdue(self, call: CallerCase, now_s: float) -> bool:
+    def is_overdue(self, call: PendingRequest, now_s: float) -> bool:
         """Tell whether a request gets remaining capacity only, before it is placed."""
 
     @abstractmethod
-    def patience_s(self, call: CallerCase, accepted: bool, now_s: float) -> float:
+    def patience_s(self, call: PendingRequest, accepted: bool, now_s: float) -> float:
         """Return the longest wait for a first event that a request is placed with."""
 
     @abstractmethod
     def engines_for(
-        self, call: CallerCase, engines: list[Endpoint], now_s: float
+        self, call: PendingRequest, engines: list[Endpoint], now_s: float
     ) -> list[Endpoint]:
         """Return the engines among which a request is placed."""
 
     @abstractmethod
-    def judge(self, call: CallerCase, choice: Choice, now_s: float) -> Verdict:
+    def judge(self, call: PendingRequest, choice: Choice, now_s: float) -> Verdict:
         """Decide on a request for which a placement has made its choice."""
 
     @abstractmethod
@@ -138,11 +138,11 @@
         """Return how many overdue requests wait here."""
 
     @abstractmethod
-    def left(self, call: CallerCase, now_s: float, sent: bool) -> None:
+    def left(self, call: PendingRequest, now_s: float, sent: bool) -> None:
         """Take that a request was sent, was refused, or that its caller left."""
 
     @abstractmethod
-    def next_due(self, call: CallerCase, now_s: float) -> float:
+    def next_due(self, call: PendingRequest, now_s: float) -> float:
         """Return when a waiting request is to be judged again at the latest."""
 
 
@@ -158,21 +158,21 @@
     def __init__(self, luck: random.Random | None = None) -> None:
         self._luck = luck or random.Random()
 
-    def is_overdue(self, call: CallerCase, now_s: float) -> bool:
+    def is_overdue(self, call: PendingRequest, now_s: float) -> bool:
         """See `OverloadPolicy.is_overdue`."""
         return False
 
-    def patience_s(self, call: CallerCase, accepted: bool, now_s: float) -> float:
+    def patience_s(self, call: PendingRequest, accepted: bool, now_s: float) -> float:
         """See `OverloadPolicy.patience_s`."""
         return call.patience_s(now_s - call.received_s, accepted)
 
     def engines_for(
-        self, call: CallerCase, engines: list[Endpoint], now_s: float
+        self, call: PendingRequest, engines: list[Endpoint], now_s: float
     ) -> list[Endpoint]:
         """See `OverloadPolicy.engines_for`."""
         return engines
 
-    def judge(self, call: CallerCase, choice: Choice, now_s: float) -> Verdict:
+    def judge(self, call: PendingRequest, choice: Choice, now_s: float) -> Verdict:
         """See `OverloadPolicy.judge`."""
         if not isinstance(choice, TooLate):
             return Admit(choice)
@@ -185,10 +185,10 @@
         """See `OverloadPolicy.queued`."""
         return 0
 
-    def left(self, call: CallerCase, now_s: float, sent: bool) -> None:
+    def left(self, call: PendingRequest, now_s: float, sent: bool) -> None:
         """See `OverloadPolicy.left`."""
 
-    def next_due(self, call: CallerCase, now_s: float) -> float:
+    def next_due(self, call: PendingRequest, now_s: float) -> float:
         """See `OverloadPolicy.next_due`."""
         return math.inf
 
@@ -204,12 +204,12 @@
 
     def __init__(self, luck: random.Random | None = None) -> None:
         self._luck = luck or random.Random()
-        self._waiting: dict[int, CallerCase] = {}
+        self._waiting: dict[int, PendingRequest] = {}
         self._sent_per_s = 0.0
         self._sent_s = 0.0
         self._refused: OrderedDict[str, float] = OrderedDict()
 
-    def is_overdue(self, call: CallerCase, now_s: float) -> bool:
+    def is_overdue(self, call: PendingRequest, now_s: float) -> bool:
         """See `OverloadPolicy.is_overdue`.
 
         One that waits here but may still be in time is placed as others are.
@@ -220,14 +220,14 @@
             return True
         return self._is_hasty(call)
 
-    def patience_s(self, call: CallerCase, accepted: bool, now_s: float) -> float:
+    def patience_s(self, call: PendingRequest, accepted: bool, now_s: float) -> float:
         """See `OverloadPolicy.patience_s`."""
         if self.is_overdue(call, now_s):
             return math.inf
         return call.patience_s(call.waited_s(now_s), accepted)
 
     def engines_for(
-        self, call: CallerCase, engines: list[Endpoint], now_s: float
+        self, call: PendingRequest, engines: list[Endpoint], now_s: float
     ) -> list[Endpoint]:
         """See `OverloadPolicy.engines_for`."""
         if not self.is_overdue(call, now_s) or now_s >= call.wait_ends_s:
@@ -236,12 +236,12 @@
         free = sum(_spare_places(each) for each in spare)
         return spare if free > self._before(call) else []
 
-    def _before(self, call: CallerCase) -> int:
+    def _before(self, call: PendingRequest) -> int:
         """Return how many of those that wait get capacity before a request."""
         place = _place_in_queue(call)
         return sum(_place_in_queue(each) < place for each in self._waiting.values())
 
-    def judge(self, call: CallerCase, choice: Choice, now_s: float) -> Verdict:
+    def judge(self, call: PendingRequest, choice: Choice, now_s: float) -> Verdict:
         """See `OverloadPolicy.judge`."""
         if call.may_have_run:
             return _admit_late(choice)
@@ -257,20 +257,22 @@
             return Wait(self.next_due(call, now_s))
         return Admit(choice, LAST_RANK)
 
-    def _judge_timely(self, call: CallerCase, choice: Choice, now_s: float) -> Verdict:
+    def _judge_timely(
+        self, call: PendingRequest, choice: Choice, now_s: float
+    ) -> Verdict:
         if not isinstance(choice, TooLate):
             return Admit(choice)
         if now_s >= call.wait_ends_s or not self._has_place(call, now_s):
             return self._reject(call, now_s)
         return Wait(self.next_due(call, now_s))
 
-    def _end_wait(self, call: CallerCase, choice: Choice, now_s: float) -> Verdict:
+    def _end_wait(self, call: PendingRequest, choice: Choice, now_s: float) -> Verdict:
         # Sent when its caller leaves, it would only take an engine's time.
         if isinstance(choice, SendTo) and now_s < call.leaves_s:
             return Admit(choice, LAST_RANK)
         return self._reject(call, now_s)
 
-    def _has_place(self, call: CallerCase, now_s: float) -> bool:
+    def _has_place(self, call: PendingRequest, now_s: float) -> bool:
         """Tell whether a request may wait, and take its place in the queue."""
         if call.key not in self._waiting:
             if len(self._waiting) >= self._most(call, now_s):
@@ -278,12 +280,12 @@
             self._waiting[call.key] = call
         return True
 
-    def _most(self, call: CallerCase, now_s: float) -> float:
+    def _most(self, call: PendingRequest, now_s: float) -> float:
         """Return how many may wait, by what is sent while this one waits."""
         expected = self._rate_per_s(now_s) * (call.wait_ends_s - now_s)
         return min(QUEUE_MOST, max(QUEUE_LEAST, expected))
 
-    def _reject(self, call: CallerCase, now_s: float) -> Reject:
+    def _reject(self, call: PendingRequest, now_s: float) -> Reject:
         empty_s = len(self._waiting) / max(LEAST_PER_S, self._rate_per_s(now_s))
         after_s = empty_s + self._luck.uniform(0.0, SPREAD_S)
         most_s = BACK_PART * max(0.0, call.deadline_s - now_s)
@@ -301,7 +303,7 @@
         if len(self._refused) > REFUSED_MOST:
             self._refused.popitem(last=False)
 
-    def _is_hasty(self, call: CallerCase) -> bool:
+    def _is_hasty(self, call: PendingRequest) -> bool:
         # What is refused while a request waits says nothing of that request.
         refused_s = self._refused.get(call.mark, -math.inf)
         since_s = call.received_s - refused_s
@@ -315,20 +317,20 @@
         """See `OverloadPolicy.queued`."""
         return len(self._waiting)
 
-    def left(self, call: CallerCase, now_s: float, sent: bool) -> None:
+    def left(self, call: PendingRequest, now_s: float, sent: bool) -> None:
         """See `OverloadPolicy.left`."""
         if self._waiting.pop(call.key, None) is not None and sent:
             step = math.log(2) / RATE_HALF_LIFE_S
             self._sent_per_s = self._rate_per_s(now_s) + step
             self._sent_s = now_s
 
-    def next_due(self, call: CallerCase, now_s: float) -> float:
+    def next_due(self, call: PendingRequest, now_s: float) -> float:
         """See `OverloadPolicy.next_due`."""
         ends_s = call.wait_ends_s
         return min(ends_s, now_s + LOOK_S) if ends_s > now_s else now_s + LOOK_S
 
 
-def _without_moves(call: CallerCase, engines: list[Endpoint]) -> list[Endpoint]:
+def _without_moves(call: PendingRequest, engines: list[Endpoint]) -> list[Endpoint]:
     """Return the engines that a request can use without an adapter giving way.
 
     Placed on any engine with capacity left, overdue requests had their adapters loaded
@@ -346,6 +348,6 @@
     return Admit(choice.instead if isinstance(choice, TooLate) else choice)
 
 
-def _place_in_queue(call: CallerCase) -> tuple[int, float, int]:
+def _place_in_queue(call: PendingRequest) -> tuple[int, float, int]:
     """Order of those that wait: the most urgent first, then the next deadline."""
     return call.route.urgency, call.deadline_s, call.key
--- a/packages/daemon/src/knapweedbridge_daemon/serving/admission_records.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/admission_records.py
@@ -1,7 +1,7 @@
 """What is logged and counted of calls that engines cannot answer in time."""
 
 from knapweedbridge_core.serving import (
-    CallerCase,
+    PendingRequest,
     Reject,
     TooLate,
     Verdict,
@@ -29,7 +29,7 @@
         self._hub = hub
 
     def judged(
-        self, call: Call, case: CallerCase, verdict: Verdict, now_s: float
+        self, call: Call, case: PendingRequest, verdict: Verdict, now_s: float
     ) -> None:
         """Note a verdict that makes a call wait, or that refuses it.
 
@@ -41,7 +41,7 @@
         elif isinstance(verdict, Reject) and verdict.is_overdue:
             self._note(call, case, "refused", now_s, verdict.retry_after_s)
 
-    def sent(self, call: Call, case: CallerCase, now_s: float) -> None:
+    def sent(self, call: Call, case: PendingRequest, now_s: float) -> None:
         """Note that a call that had waited, or that is overdue, is sent."""
         if call.overdue_rank is not None:
             self._note(call, case, "sent_last", now_s)
@@ -51,7 +51,7 @@
     def _note(
         self,
         call: Call,
-        case: CallerCase,
+        case: PendingRequest,
         decision: str,
         now_s: float,
         retry_after_s: float | None = None,
--- a/packages/daemon/src/knapweedbridge_daemon/serving/placing.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/placing.py
@@ -6,12 +6,12 @@
 
 from knapweedbridge_core.serving import (
     Admit,
-    CallerCase,
     Endpoint,
     LateAdmission,
     LoadOn,
     ModelRef,
     NoEngine,
+    PendingRequest,
     PlacementAsk,
     PlainAsk,
     PricedPlacement,
@@ -112,7 +112,7 @@
         return not any(map(call.may_go_to, fleet.of_service(call.service, now_s)))
 
     async def _place_on_engine(
-        self, call: Call, model: ModelRef, case: CallerCase
+        self, call: Call, model: ModelRef, case: PendingRequest
     ) -> Target | Refusal:
         asked_s = float("-inf")
         known_by_s = anyio.current_time() + ANSWER_S
@@ -152,8 +152,8 @@
                 return Refusal(503, "no_place", BUSY_AFTER_S)
             await self._hub.engines_changed.wait(max(0.001, pause_s))
 
-    def _case(self, call: Call) -> CallerCase:
-        return CallerCase(
+    def _case(self, call: Call) -> PendingRequest:
+        return PendingRequest(
             id(call),
             call.route,
             call.request.received_s,
@@ -169,7 +169,7 @@
     def _refuse_now(
         self,
         call: Call,
-        case: CallerCase,
+        case: PendingRequest,
         choice: Choice,
         verdict: Verdict,
         now_s: float,
@@ -217,7 +217,7 @@
         return min(call.request.received_s + wait_s, call.deadline_s - 0.05)
 
     def _choose(
-        self, call: Call, model: ModelRef, case: CallerCase, now_s: float
+        self, call: Call, model: ModelRef, case: PendingRequest, now_s: float
     ) -> Choice:
         beliefs, policy = self._hub.beliefs, self._hub.overload
         ask = PlacementAsk(
--- a/packages/standins/src/knapweedbridge_standins/serving_load/overload_pool.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_load/overload_pool.py
@@ -5,12 +5,12 @@
 from dataclasses import dataclass, field
 
 from knapweedbridge_core.serving import (
-    CallerCase,
     Endpoint,
     EnginePlacement,
     LoadOn,
     NoEngine,
     OverloadPolicy,
+    PendingRequest,
     PlacementAsk,
     Reject,
     SendTo,
@@ -162,8 +162,8 @@
         call.spent_s = self._deadlines.spent_s(call.mix.name, left_s, now_s)
         self.place(call)
 
-    def _case(self, call: OverloadCall) -> CallerCase:
-        return CallerCase(
+    def _case(self, call: OverloadCall) -> PendingRequest:
+        return PendingRequest(
             id(call),
             self.pool.routes[call.mix.name],
             call.began_s,
