--- a/packages/core/src/knapweedbridge_core/grant_side.py
+++ b/packages/core/src/knapweedbridge_core/grant_side.py
@@ -8,7 +8,7 @@
 from knapweedbridge_core.context import Context, Handler
 from knapweedbridge_core.estate import Estate, EstateSide
 from knapweedbridge_core.grant_gate import GrantAdmission
-from knapweedbridge_core.leases import LIFE_KEY
+from knapweedbridge_core.leases import LIVENESS_PREFIX
 from knapweedbridge_core.outcomes import Reason
 from knapweedbridge_core.tenure import Tenure
 from knapweedbridge_core.times import RECONCILE_S, RETRY_S, SILENT_S
@@ -154,14 +154,14 @@
         if now_s - self._polled_s.get(host, -SILENT_S) < SILENT_S:
             return
         self._polled_s[host] = now_s
-        key = (LIFE_KEY + host,)
+        key = (LIVENESS_PREFIX + host,)
         self._context.do(StoreRead(f"{LIFE_TOKEN}:{host}", key))
 
     def _store_replied(self, event: events.StoreReplied) -> None:
         kind, _, host = event.token.partition(":")
         if kind != LIFE_TOKEN or not event.known:
             return
-        if LIFE_KEY + host in event.values:
+        if LIVENESS_PREFIX + host in event.values:
             return
         self._polled_s.pop(host, None)
         self._context.record("holder.dead", holder=host)
--- a/packages/core/src/knapweedbridge_core/leases.py
+++ b/packages/core/src/knapweedbridge_core/leases.py
@@ -14,7 +14,7 @@
     RETRY_S,
 )
 
-LIFE_KEY = "knapweedbridge/life/"
+LIVENESS_PREFIX = "knapweedbridge/life/"
 
 
 def incarnation_in(value: bytes) -> int:
@@ -34,7 +34,7 @@
     """
 
     def __init__(self, host: str, incarnation: int) -> None:
-        self.key = LIFE_KEY + host
+        self.key = LIVENESS_PREFIX + host
         self.epoch = 0
         self._value = msgpack.packb({"incarnation": incarnation})
         self._valid_until_s = -inf
--- a/packages/core/src/knapweedbridge_core/owners.py
+++ b/packages/core/src/knapweedbridge_core/owners.py
@@ -9,7 +9,7 @@
 from knapweedbridge_core.computed_owners import ComputedOwners
 from knapweedbridge_core.configuration import EndpointEntry
 from knapweedbridge_core.events import StoreReplied
-from knapweedbridge_core.leases import LIFE_KEY, DaemonLease, incarnation_in
+from knapweedbridge_core.leases import LIVENESS_PREFIX, DaemonLease, incarnation_in
 from knapweedbridge_core.members import Members
 from knapweedbridge_core.owner_claims import (
     HELD_STAGES,
@@ -178,7 +178,7 @@
         if found.owner in ("", self._host):
             return [self._write_claim(endpoint, claim, {}, now_s)], []
         claim.stage = Stage.READING_LIFE
-        key = LIFE_KEY + found.owner
+        key = LIVENESS_PREFIX + found.owner
         return [StoreRead(f"owner-life:{endpoint}", (key,))], []
 
     def _read_life(
@@ -186,7 +186,7 @@
     ) -> tuple[list[Action], list[Change]]:
         if claim.stage is not Stage.READING_LIFE or claim.found is None:
             return [], []
-        key = LIFE_KEY + claim.found.owner
+        key = LIVENESS_PREFIX + claim.found.owner
         value, revision = reply.values.get(key, (b"", 0))
         if not reply.known or self._lives(claim.found, value):
             claim.stage = Stage.IDLE
