--- a/bench/engine_choice.py
+++ b/bench/engine_choice.py
@@ -15,9 +15,9 @@
     EndpointRecord,
     Fleet,
     LateAdmission,
+    LeastCostPlacement,
     ModelRef,
     PlacementAsk,
-    PricedPlacement,
     may_claim,
 )
 
@@ -54,7 +54,7 @@
     """Return the mean time of a call's placement, in milliseconds."""
     luck = random.Random(1)
     fleet = make_fleet(engines, luck)
-    admission = LateAdmission(PricedPlacement())
+    admission = LateAdmission(LeastCostPlacement())
     began_s = time.perf_counter()
     for n in range(CALLS):
         now_s = 0.001 * n
--- a/bench/engine_speeds.py
+++ b/bench/engine_speeds.py
@@ -8,7 +8,7 @@
 
 import os
 
-from knapweedbridge_core.serving import PricedPlacement
+from knapweedbridge_core.serving import LeastCostPlacement
 from knapweedbridge_standins.serving_load import SITES, Figures, play
 
 WARM_S = 12.0
@@ -37,7 +37,7 @@
         found = [
             play(
                 SITES["uneven"],
-                PricedPlacement(),
+                LeastCostPlacement(),
                 load,
                 PLAYED_S,
                 seed,
--- a/bench/overload_load.py
+++ b/bench/overload_load.py
@@ -15,7 +15,7 @@
 from concurrent.futures import ProcessPoolExecutor
 from dataclasses import asdict, dataclass
 
-from knapweedbridge_core.serving import AdmitAll, OverdueLast, PricedPlacement
+from knapweedbridge_core.serving import AdmitAll, LeastCostPlacement, OverdueLast
 from knapweedbridge_standins.serving_load import (
     QUOTA_SITE,
     OverloadFigures,
@@ -45,7 +45,7 @@
         run.load, hasty_share=run.hasty_share, crash_share=run.crash_share
     )
     make = POLICIES[run.policy]
-    return play_overload(QUOTA_SITE, PricedPlacement(), make, story, seed)
+    return play_overload(QUOTA_SITE, LeastCostPlacement(), make, story, seed)
 
 
 def summed(found: list[OverloadFigures]) -> dict:
--- a/bench/serving_load.py
+++ b/bench/serving_load.py
@@ -13,7 +13,7 @@
 from dataclasses import asdict, dataclass
 from pathlib import Path
 
-from knapweedbridge_core.serving import PricedPlacement
+from knapweedbridge_core.serving import LeastCostPlacement
 from knapweedbridge_standins.serving_load import (
     SITES,
     Figures,
@@ -25,7 +25,7 @@
 
 RESULT = Path(__file__).parent / "results" / "serving_load.json"
 POLICIES = {
-    "priced": PricedPlacement,
+    "priced": LeastCostPlacement,
     "hashing": HashedPlacement,
     "least calls": LeastCallsPlacement,
 }
--- a/features/admission/steps/overload_steps.py
+++ b/features/admission/steps/overload_steps.py
@@ -2,8 +2,8 @@
 
 from knapweedbridge_core.serving import (
     AdmitAll,
+    LeastCostPlacement,
     OverdueLast,
-    PricedPlacement,
 )
 from knapweedbridge_standins.serving_load import (
     QUOTA_SITE,
@@ -18,7 +18,7 @@
 
 def played(make_policy, story, seeds):
     return [
-        play_overload(QUOTA_SITE, PricedPlacement(), make_policy, story, seed)
+        play_overload(QUOTA_SITE, LeastCostPlacement(), make_policy, story, seed)
         for seed in seeds
     ]
 
--- a/features/load/steps/load_steps.py
+++ b/features/load/steps/load_steps.py
@@ -5,8 +5,8 @@
 
 from knapweedbridge_core.serving import (
     Fleet,
+    LeastCostPlacement,
     LoadTimes,
-    PricedPlacement,
     late_admission,
 )
 from knapweedbridge_standins.serving_load import (
@@ -49,7 +49,14 @@
 def mean_share(relayed):
     """Return the mean share in time of four plays of a large pool."""
     found = [
-        play(LARGE, PricedPlacement(), 1.0, PLAYED_S[LARGE.name], seed, relayed=relayed)
+        play(
+            LARGE,
+            LeastCostPlacement(),
+            1.0,
+            PLAYED_S[LARGE.name],
+            seed,
+            relayed=relayed,
+        )
         for seed in SEEDS
     ]
     return sum(each.in_time_share for each in found) / len(found)
@@ -64,13 +71,13 @@
 @when("a small pool is played at {load:g} times its usual load")
 def small_pool(context, load):
     context.site, context.load = SMALL, load
-    context.figures = figures(SMALL, PricedPlacement, load)
+    context.figures = figures(SMALL, LeastCostPlacement, load)
 
 
 @when("a large pool is played at its usual load")
 def large_pool(context):
     context.site, context.load = LARGE, 1.0
-    context.figures = figures(LARGE, PricedPlacement, 1.0)
+    context.figures = figures(LARGE, LeastCostPlacement, 1.0)
 
 
 @then("at least {share:g} of its callers are answered in time")
@@ -81,7 +88,10 @@
 def strict(context):
     with mock.patch.object(late_admission, "SPARE_MOST", 0.0):
         return play(
-            context.site, PricedPlacement(), context.load, PLAYED_S[context.site.name]
+            context.site,
+            LeastCostPlacement(),
+            context.load,
+            PLAYED_S[context.site.name],
         )
 
 
@@ -103,7 +113,7 @@
 
 @when("a small pool is played at 1.5 and at 3 times its usual load")
 def two_loads(context):
-    context.loads = [figures(SMALL, PricedPlacement, load) for load in (1.5, 3.0)]
+    context.loads = [figures(SMALL, LeastCostPlacement, load) for load in (1.5, 3.0)]
 
 
 @then("at 3 times at least as many callers are answered in time as at 1.5")
@@ -122,7 +132,7 @@
 @then("at least {more:g} more than where daemons {without}")
 def more_than_without(context, more, without):
     with WITHOUT[without]:
-        found = played(context.site, PricedPlacement, context.load)
+        found = played(context.site, LeastCostPlacement, context.load)
     shares = context.figures.in_time_share, found.in_time_share
     assert shares[0] >= shares[1] + more, shares
 
@@ -130,7 +140,7 @@
 @then("engines refuse at most half as many calls as where nothing is learnt")
 def fewer_not_run(context):
     with mock.patch.object(LoadTimes, "told", lambda times, cold_s: None):
-        found = played(context.site, PricedPlacement, context.load)
+        found = played(context.site, LeastCostPlacement, context.load)
     refused = context.figures.not_run, found.not_run
     assert refused[0] <= refused[1] / 2, refused
 
--- a/features/load/steps/pacing_steps.py
+++ b/features/load/steps/pacing_steps.py
@@ -7,8 +7,8 @@
     EndpointRecord,
     Fleet,
     LearntRates,
+    LeastCostPlacement,
     LoadTimes,
-    PricedPlacement,
     PromptTurn,
     WindowPacing,
 )
@@ -23,7 +23,7 @@
 @cache
 def schools(load, paced):
     return [
-        play(SITES["schools"], PricedPlacement(), load, PLAYED_S, seed, paced)
+        play(SITES["schools"], LeastCostPlacement(), load, PLAYED_S, seed, paced)
         for seed in (1, 2)
     ]
 
@@ -49,7 +49,7 @@
 @when("a small pool is played at {load:g} times its usual load, paced and not")
 def play_small(context, load):
     context.shares = [
-        play(SITES["okavango"], PricedPlacement(), load, PLAYED_S, 1, paced)
+        play(SITES["okavango"], LeastCostPlacement(), load, PLAYED_S, 1, paced)
         for paced in (True, False)
     ]
 
--- a/features/serving/steps/decision_steps.py
+++ b/features/serving/steps/decision_steps.py
@@ -9,12 +9,12 @@
     CrashLedger,
     EndpointStart,
     Fleet,
+    LeastCostPlacement,
     LoadOn,
     NamedVersions,
     NoEngine,
     OrderAnswer,
     PlacementAsk,
-    PricedPlacement,
     RetryBudget,
     SendTo,
     TooLate,
@@ -177,7 +177,7 @@
 def place(context, model, versions=None, patience_s=math.inf):
     ask = PlacementAsk(parse_model(model), versions, "d1", patience_s=patience_s)
     engines_now = context.fleet.reachable("llm", NOW_S)
-    context.choice = PricedPlacement().choose(ask, engines_now, NOW_S)
+    context.choice = LeastCostPlacement().choose(ask, engines_now, NOW_S)
     return context.choice
 
 
@@ -493,7 +493,7 @@
 def placed(context, tokens):
     ask = PlacementAsk(parse_model("m"), None, "d1", prompt_tokens=tokens)
     engines = context.fleet.of_service("llm", NOW_S)
-    return PricedPlacement().choose(ask, engines, NOW_S)
+    return LeastCostPlacement().choose(ask, engines, NOW_S)
 
 
 @when('a call for "m" with {tokens:d} tokens is placed')
--- a/features/speeds/steps/load_steps.py
+++ b/features/speeds/steps/load_steps.py
@@ -2,7 +2,7 @@
 
 from behave import then, when
 
-from knapweedbridge_core.serving import PricedPlacement
+from knapweedbridge_core.serving import LeastCostPlacement
 from knapweedbridge_standins.serving_load import SITES, play
 
 SHARE = 24 / 70
@@ -21,7 +21,7 @@
 def play_both(context, site, seeds):
     context.found = [
         [
-            play(site, PricedPlacement(), 1.0, PLAYED_S, seed, learn_speeds=learn)
+            play(site, LeastCostPlacement(), 1.0, PLAYED_S, seed, learn_speeds=learn)
             for seed in range(1, seeds + 1)
         ]
         for learn in (True, False)
--- a/features/speeds/steps/using_steps.py
+++ b/features/speeds/steps/using_steps.py
@@ -6,9 +6,9 @@
     EndpointStart,
     Fleet,
     LearntRates,
+    LeastCostPlacement,
     ModelRef,
     PlacementAsk,
-    PricedPlacement,
 )
 from knapweedbridge_core.serving.messages import EngineChanged, EngineTold
 from knapweedbridge_daemon.serving.settings import read_serving_settings
@@ -174,7 +174,7 @@
         for each in context.engines[:2]:
             each.others_unread_tokens = 4000
     ask = PlacementAsk(ModelRef("m"), None, "d1", frozenset(), tokens, 2.0)
-    placement = PricedPlacement(context.rates)
+    placement = LeastCostPlacement(context.rates)
     context.choice = placement.choose(ask, context.engines, context.now_s)
 
 
--- a/packages/core/src/knapweedbridge_core/serving/__init__.py
+++ b/packages/core/src/knapweedbridge_core/serving/__init__.py
@@ -83,7 +83,7 @@
     permit_keeper,
     without_limited,
 )
-from knapweedbridge_core.serving.placement import EnginePlacement, PricedPlacement
+from knapweedbridge_core.serving.placement import EnginePlacement, LeastCostPlacement
 from knapweedbridge_core.serving.placement_choices import (
     LoadOn,
     NoEngine,
@@ -193,7 +193,7 @@
     "PlainAsk",
     "PlainCounter",
     "PlainState",
-    "PricedPlacement",
+    "LeastCostPlacement",
     "PromptPacer",
     "PromptTurn",
     "Quota",
--- a/packages/core/src/knapweedbridge_core/serving/placement.py
+++ b/packages/core/src/knapweedbridge_core/serving/placement.py
@@ -117,7 +117,7 @@
         """Choose among engines that may take new work."""
 
 
-class PricedPlacement(EnginePlacement):
+class LeastCostPlacement(EnginePlacement):
     """Sends a call to the engine whose price is least.
 
     Parameters
--- a/packages/daemon/src/knapweedbridge_daemon/serving/placing.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/placing.py
@@ -8,13 +8,13 @@
     Admit,
     Endpoint,
     LateAdmission,
+    LeastCostPlacement,
     LoadOn,
     ModelRef,
     NoEngine,
     PendingRequest,
     PlacementAsk,
     PlainAsk,
-    PricedPlacement,
     Reject,
     SendTo,
     TooLate,
@@ -85,7 +85,7 @@
     def __init__(self, hub: Hub, link: PeerLink) -> None:
         self._hub = hub
         self._link = link
-        self._admission = LateAdmission(PricedPlacement(hub.rates, hub.load_times))
+        self._admission = LateAdmission(LeastCostPlacement(hub.rates, hub.load_times))
         self._records = AdmissionRecords(hub)
 
     async def place(self, call: Call) -> Target | Refusal:
--- a/packages/standins/src/knapweedbridge_standins/serving_histories/versions.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_histories/versions.py
@@ -9,10 +9,10 @@
     Endpoint,
     EndpointRecord,
     Fleet,
+    LeastCostPlacement,
     LoadOn,
     ModelRef,
     PlacementAsk,
-    PricedPlacement,
     SendTo,
     WaitFor,
 )
@@ -77,7 +77,7 @@
         self._named: list[tuple[float, int]] = []
         self._engines = [_Engine(f"e{n}") for n in range(ENGINES)]
         self._daemons = [_Daemon() for _ in range(DAEMONS)]
-        self._placement = PricedPlacement()
+        self._placement = LeastCostPlacement()
         self._next_s: deque[float] = deque()
         self._runs: list[_Run] = []
         self.broken: list[str] = []
--- a/packages/standins/src/knapweedbridge_standins/serving_load/pool.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_load/pool.py
@@ -10,9 +10,9 @@
     EnginePlacement,
     EngineRates,
     LearntRates,
+    LeastCostPlacement,
     ModelRef,
     NoPacing,
-    PricedPlacement,
     PromptPacer,
     Route,
     WindowPacing,
@@ -120,7 +120,7 @@
         rates = LearntRates()
         if self._paced:
             rates.accept_pauses({"llm": self.site.gap_s})
-        return PricedPlacement(rates), rates
+        return LeastCostPlacement(rates), rates
 
     def make_pacer(self, rates: EngineRates) -> PromptPacer:
         """Make what gives the prompts for one engine their turns."""
