--- a/features/attempts/steps/core_steps.py
+++ b/features/attempts/steps/core_steps.py
@@ -105,7 +105,7 @@
         return request
 
     def grant(self):
-        owner, ask = self.sent(messages.GrantAsk)[-1]
+        owner, ask = self.sent(messages.GrantRequest)[-1]
         self.hear(owner, self.given(ask))
 
     def end(self, outcome, attempt_id=""):
@@ -132,7 +132,7 @@
 def dispatched(context, kind):
     context.core = Core()
     context.request = context.core.arrive(kind)
-    if context.core.sent(messages.GrantAsk):
+    if context.core.sent(messages.GrantRequest):
         context.core.grant()
     assert len(context.core.taken(Dispatch)) == 1
     context.core.actions.clear()
@@ -142,7 +142,7 @@
 def ends(context, outcome):
     core = context.core
     core.end(outcome_of(outcome), "r1.1" if core.requests == 1 else "")
-    if core.sent(messages.GrantAsk):
+    if core.sent(messages.GrantRequest):
         core.grant()
 
 
@@ -163,7 +163,7 @@
 
 @when("the grant of the first attempt comes late")
 def late_grant(context):
-    owner, ask = context.core.sent(messages.GrantAsk)[0]
+    owner, ask = context.core.sent(messages.GrantRequest)[0]
     context.core.actions.clear()
     context.core.hear(owner, context.core.given(ask))
 
--- a/packages/core/src/knapweedbridge_core/grant_gate.py
+++ b/packages/core/src/knapweedbridge_core/grant_gate.py
@@ -13,7 +13,7 @@
         self._context = context
         self._quarantine = Quarantine()
 
-    def refusal(self, ask: messages.GrantAsk, now_s: float) -> Reason | None:
+    def refusal(self, ask: messages.GrantRequest, now_s: float) -> Reason | None:
         """Return why a grant may not be given, or None."""
         # The asking daemon may not have heard yet that the endpoint leaves.
         if ask.endpoint in self._context.leaving:
@@ -24,6 +24,6 @@
             return Reason.QUARANTINE
         return None
 
-    def leave(self, message: messages.GrantAsk | messages.GrantReturned) -> None:
+    def leave(self, message: messages.GrantRequest | messages.GrantReturned) -> None:
         """Take note that an attempt ended, or got no grant."""
         self._quarantine.leave(message.endpoint, message.attempt_id)
--- a/packages/core/src/knapweedbridge_core/grant_messages.py
+++ b/packages/core/src/knapweedbridge_core/grant_messages.py
@@ -4,8 +4,8 @@
 from knapweedbridge_core.names import AdapterVersion
 
 
-@message
-class GrantAsk:
+@message(tag="GrantAsk")
+class GrantRequest:
     """A caller's daemon asks an owner for a grant."""
 
     attempt_id: str
--- a/packages/core/src/knapweedbridge_core/grant_side.py
+++ b/packages/core/src/knapweedbridge_core/grant_side.py
@@ -46,12 +46,12 @@
         return {
             events.Tick: self._tick,
             events.StoreReplied: self._store_replied,
-            messages.GrantAsk: self._grant_ask,
+            messages.GrantRequest: self._grant_ask,
             messages.GrantReturned: self._grant_returned,
             messages.GrantsHeld: self._grants_held,
         }
 
-    def _grant_ask(self, message: messages.GrantAsk) -> None:
+    def _grant_ask(self, message: messages.GrantRequest) -> None:
         tenure = self._estate.tenures.get(message.endpoint)
         sender, now_s = self._context.sender, self._context.now_s
         stopped = self._gate.refusal(message, now_s)
@@ -72,12 +72,12 @@
         self._gate.leave(message)
         self._refuse(message, Reason.NOT_LOADED)
 
-    def _refuse(self, asked: messages.GrantAsk, reason: Reason) -> None:
+    def _refuse(self, asked: messages.GrantRequest, reason: Reason) -> None:
         self._record_grant("grant.refused", asked)
         refused = messages.GrantRefused(asked.attempt_id, asked.endpoint, reason)
         self._context.send(self._context.sender, refused)
 
-    def _record_grant(self, kind: str, asked: messages.GrantAsk) -> None:
+    def _record_grant(self, kind: str, asked: messages.GrantRequest) -> None:
         self._context.record(
             kind,
             attempt=asked.attempt_id,
--- a/packages/core/src/knapweedbridge_core/holder_side.py
+++ b/packages/core/src/knapweedbridge_core/holder_side.py
@@ -34,7 +34,7 @@
         self._held: dict[str, _Held] = {}
         self._intents: dict[tuple[str, AdapterVersion], _Intent] = {}
         self._owners: dict[str, str] = {}
-        context.watch(messages.GrantAsk, self._ask_sent)
+        context.watch(messages.GrantRequest, self._ask_sent)
         context.watch(messages.GrantReturned, self._return_sent)
 
     def handlers(self) -> dict[type, Handler]:
@@ -48,7 +48,7 @@
             messages.EvictionOver: self._eviction_over,
         }
 
-    def _ask_sent(self, host: str, message: messages.GrantAsk) -> None:
+    def _ask_sent(self, host: str, message: messages.GrantRequest) -> None:
         self._held[message.attempt_id] = _Held(message.endpoint, message.model)
 
     def _return_sent(self, host: str, message: messages.GrantReturned) -> None:
--- a/packages/core/src/knapweedbridge_core/messages.py
+++ b/packages/core/src/knapweedbridge_core/messages.py
@@ -25,9 +25,9 @@
     LeavingTold,
 )
 from knapweedbridge_core.grant_messages import (
-    GrantAsk,
     GrantGiven,
     GrantRefused,
+    GrantRequest,
     GrantReturned,
 )
 from knapweedbridge_core.load_messages import (
@@ -76,7 +76,7 @@
     "EvictionIntent",
     "EvictionNoted",
     "EvictionOver",
-    "GrantAsk",
+    "GrantRequest",
     "GrantGiven",
     "GrantRefused",
     "GrantReturned",
--- a/packages/core/src/knapweedbridge_core/request_side.py
+++ b/packages/core/src/knapweedbridge_core/request_side.py
@@ -187,7 +187,7 @@
         self._context.record(
             "grant.asked", attempt=attempt_id, endpoint=name, model=str(model), to=owner
         )
-        ask = messages.GrantAsk(
+        ask = messages.GrantRequest(
             attempt_id, name, model, live.request.priority, live.suspect
         )
         self._context.send(owner, ask)
