--- a/bench/mutants_configuration.py
+++ b/bench/mutants_configuration.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from knapweedbridge_core import configuration_side
-from knapweedbridge_core.configuration_giver import ConfigurationGiver
+from knapweedbridge_core.configuration_responder import ConfigurationGiver
 from knapweedbridge_core.configuration_side import ConfigurationSide
 from knapweedbridge_daemon import configurations
 from knapweedbridge_standins import configuration_history
--- a/packages/core/src/knapweedbridge_core/configuration_side.py
+++ b/packages/core/src/knapweedbridge_core/configuration_side.py
@@ -10,7 +10,7 @@
 from knapweedbridge_core import events, messages, rendezvous
 from knapweedbridge_core.changes import change
 from knapweedbridge_core.configuration import Configuration, build_parts
-from knapweedbridge_core.configuration_giver import (
+from knapweedbridge_core.configuration_responder import (
     PARTS_A_MESSAGE,
     SECTIONS_A_STEP,
     ConfigurationGiver,
