--- a/bench/mutants_serving.py
+++ b/bench/mutants_serving.py
@@ -205,8 +205,8 @@
                 Fleet,
                 "listed",
                 (
-                    "endpoint.note_listed()",
-                    "endpoint.note_listed(); endpoint.pressure.leaves = False",
+                    "endpoint.record_listed()",
+                    "endpoint.record_listed(); endpoint.pressure.leaves = False",
                 ),
             )
         ],
--- a/packages/core/src/knapweedbridge_core/serving/endpoint.py
+++ b/packages/core/src/knapweedbridge_core/serving/endpoint.py
@@ -166,7 +166,7 @@
         """
         return self.usable, self.record.leaving, self.unlisted_s is None
 
-    def note_listed(self) -> None:
+    def record_listed(self) -> None:
         """Note that it has an entry."""
         self.unlisted_s, self.lapsed_until_s = None, math.inf
 
--- a/packages/core/src/knapweedbridge_core/serving/fleet.py
+++ b/packages/core/src/knapweedbridge_core/serving/fleet.py
@@ -54,7 +54,7 @@
         endpoint.record = replace(record, started_ms=started_ms)
         self._note_address(record)
         endpoint.usable = True
-        endpoint.note_listed()
+        endpoint.record_listed()
         self._lapsed.pop(endpoint.name, None)
         if not endpoint.is_heard(now_s):
             # An owner's word is newer: the list is up to 2 s old, and does not say
