--- a/packages/core/src/knapweedbridge_core/grant_side.py
+++ b/packages/core/src/knapweedbridge_core/grant_side.py
@@ -143,7 +143,7 @@
                 silent.add(host)
             if host in linked and now_s - ask.sent_s >= RETRY_S:
                 ask.sent_s = now_s
-                question = messages.GrantsAsk(tenure.endpoint, tenure.number)
+                question = messages.HeldGrantsRequest(tenure.endpoint, tenure.number)
                 self._context.send(host, question)
         return silent
 
--- a/packages/core/src/knapweedbridge_core/holder_side.py
+++ b/packages/core/src/knapweedbridge_core/holder_side.py
@@ -42,7 +42,7 @@
         return {
             events.Tick: self._tick,
             messages.GrantRefused: self._grant_refused,
-            messages.GrantsAsk: self._grants_ask,
+            messages.HeldGrantsRequest: self._grants_ask,
             messages.SlotsChanged: self._slots_changed,
             messages.EvictionIntent: self._eviction_intent,
             messages.EvictionOver: self._eviction_over,
@@ -68,7 +68,7 @@
             self._context.fences.raise_to(endpoint, number)
             self._owners[endpoint] = owner
 
-    def _grants_ask(self, message: messages.GrantsAsk) -> None:
+    def _grants_ask(self, message: messages.HeldGrantsRequest) -> None:
         endpoint, number = message.endpoint, message.number
         sender = self._context.sender
         if not self._context.fences.admits(endpoint, number):
--- a/packages/core/src/knapweedbridge_core/owner_messages.py
+++ b/packages/core/src/knapweedbridge_core/owner_messages.py
@@ -15,8 +15,8 @@
     running: int
 
 
-@message
-class GrantsAsk:
+@message(tag="GrantsAsk")
+class HeldGrantsRequest:
     """An owner asks a holder which grants on an endpoint it keeps or waits for."""
 
     endpoint: str
--- a/packages/core/src/knapweedbridge_core/owner_side.py
+++ b/packages/core/src/knapweedbridge_core/owner_side.py
@@ -50,7 +50,7 @@
             events.EndpointReported: self._endpoint_reported,
             messages.SlotsChanged: self._slots_changed,
             messages.OwnerRose: self._owner_rose,
-            messages.GrantsAsk: self._grants_ask,
+            messages.HeldGrantsRequest: self._grants_ask,
             messages.HandOver: self._hand_over_heard,
         }
 
@@ -138,7 +138,7 @@
 
     def _ask_holders(self, tenure: Tenure) -> None:
         linked = {peer.name for peer in self._context.members.peers()}
-        ask = messages.GrantsAsk(tenure.endpoint, tenure.number)
+        ask = messages.HeldGrantsRequest(tenure.endpoint, tenure.number)
         for host in sorted(tenure.takeover.unheard):
             if host in linked or host == self._context.host:
                 self._context.send(host, ask)
@@ -239,7 +239,7 @@
     def _owner_rose(self, message: messages.OwnerRose) -> None:
         self._raise(message.endpoint, message.number)
 
-    def _grants_ask(self, message: messages.GrantsAsk) -> None:
+    def _grants_ask(self, message: messages.HeldGrantsRequest) -> None:
         self._raise(message.endpoint, message.number)
 
     def _raise(self, endpoint: str, number: int) -> None:
