--- a/features/backpressure/steps/brittle_steps.py
+++ b/features/backpressure/steps/brittle_steps.py
@@ -3,7 +3,7 @@
 from pressure_calls import MODELS, metrics, named
 from stories import played
 
-from knapweedbridge_core.serving import RoomBudget
+from knapweedbridge_core.serving import RejectionBudget
 
 CONTACT_S = 3.0
 """From when on a brittle endpoint may fall over."""
@@ -86,7 +86,7 @@
 
 @given("an endpoint that bears {most:d} calls a second")
 def budget(context, most):
-    context.room, context.most = RoomBudget(), most
+    context.room, context.most = RejectionBudget(), most
 
 
 def moments(text):
--- a/packages/core/src/knapweedbridge_core/serving/__init__.py
+++ b/packages/core/src/knapweedbridge_core/serving/__init__.py
@@ -20,7 +20,7 @@
 )
 from knapweedbridge_core.serving.backpressure import Backpressure
 from knapweedbridge_core.serving.beliefs import Belief, Beliefs
-from knapweedbridge_core.serving.brittle import RoomBudget
+from knapweedbridge_core.serving.brittle import RejectionBudget
 from knapweedbridge_core.serving.call_marks import (
     asked_of,
     fingerprint,
@@ -203,7 +203,7 @@
     "QuotaUnit",
     "Reject",
     "RetryBudget",
-    "RoomBudget",
+    "RejectionBudget",
     "Route",
     "SendTo",
     "Service",
--- a/packages/core/src/knapweedbridge_core/serving/brittle.py
+++ b/packages/core/src/knapweedbridge_core/serving/brittle.py
@@ -20,7 +20,7 @@
 count as uncertain no more."""
 
 
-class RoomBudget:
+class RejectionBudget:
     """What one endpoint may still turn away; times are of the keeper's clock."""
 
     __slots__ = ("_sent_s", "_turned_away_s")
--- a/packages/daemon/src/knapweedbridge_daemon/serving/permits.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/permits.py
@@ -10,7 +10,7 @@
     Endpoint,
     EndpointStart,
     PermitPacer,
-    RoomBudget,
+    RejectionBudget,
     permit_keeper,
     understands,
 )
@@ -68,7 +68,7 @@
         self._tickets = itertools.count(1)
         self._questions: dict[int, Question] = {}
         self._pacers: dict[str, PermitPacer] = {}
-        self._rooms: dict[str, RoomBudget] = {}
+        self._rooms: dict[str, RejectionBudget] = {}
 
     async def take(self, endpoint: Endpoint, is_order: bool = False) -> bool:
         """Tell whether a call may be sent to an endpoint now, and count it as sent.
@@ -225,11 +225,11 @@
         answer = PermitAnswered(endpoint.name, message.ticket, wait_s)
         await self._send(daemon, answer)
 
-    def _room(self, endpoint: Endpoint) -> RoomBudget:
+    def _room(self, endpoint: Endpoint) -> RejectionBudget:
         room = self._rooms.get(endpoint.name)
         if room is None:
             self._forget_others()
-            room = self._rooms[endpoint.name] = RoomBudget()
+            room = self._rooms[endpoint.name] = RejectionBudget()
         return room
 
     async def _take_limit_as_keeper(
