--- a/features/placement/steps/decision_steps.py
+++ b/features/placement/steps/decision_steps.py
@@ -5,9 +5,9 @@
 from behave import given, then, when
 
 from knapweedbridge_core.configuration import build
+from knapweedbridge_core.consolidation import FullEngine, HeldAdapter, find_move
 from knapweedbridge_core.copies import BeforeSaturation
 from knapweedbridge_core.forecast import ChangeAware
-from knapweedbridge_core.gathering import FullEngine, HeldAdapter, find_move
 from knapweedbridge_core.names import AdapterVersion
 from knapweedbridge_core.placement import Holder, make_placement
 from knapweedbridge_core.slots import SlotOption, make_slot_choice
--- a/packages/core/src/knapweedbridge_core/loads.py
+++ b/packages/core/src/knapweedbridge_core/loads.py
@@ -4,6 +4,7 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
 
+from knapweedbridge_core.consolidation import FullEngine, HeldAdapter, find_move
 from knapweedbridge_core.copies import SATURATES_AT, BeforeSaturation, Copies, OneCopy
 from knapweedbridge_core.eviction import Eviction, LeastExpected
 from knapweedbridge_core.forecast import (
@@ -12,7 +13,6 @@
     Forecast,
     LastUse,
 )
-from knapweedbridge_core.gathering import FullEngine, HeldAdapter, find_move
 from knapweedbridge_core.messages import LoadPlaced, SlotWanted
 from knapweedbridge_core.names import AdapterVersion
 from knapweedbridge_core.policy import PlacementPolicy
