--- a/features/load/steps/pacing_steps.py
+++ b/features/load/steps/pacing_steps.py
@@ -6,7 +6,7 @@
 from knapweedbridge_core.serving import (
     EndpointRecord,
     Fleet,
-    LearntRates,
+    LearnedRates,
     LeastCostPlacement,
     LoadTimes,
     PromptTurn,
@@ -202,7 +202,7 @@
 @given("engines whose first events take {base:g} s, and {token:g} ms a token")
 def engines_whose(context, base, token):
     context.base_s, context.token_s = base, token / 1000
-    context.rates, context.fleet = LearntRates(), Fleet()
+    context.rates, context.fleet = LearnedRates(), Fleet()
     context.engine = endpoint(context.fleet, "e1")
     context.luck = random.Random(7)
 
--- a/features/speeds/steps/learning_steps.py
+++ b/features/speeds/steps/learning_steps.py
@@ -12,7 +12,7 @@
     EngineSpeed,
     EngineTeller,
     Fleet,
-    LearntRates,
+    LearnedRates,
     SpeedReports,
 )
 from knapweedbridge_daemon.serving.engine_observations import EngineObservations
@@ -96,7 +96,7 @@
 
 @when("an owner that has seen {calls:d} calls gets reports of times of {s:g} s")
 def uncertain_owner(context, calls, s):
-    rates, context.speed = LearntRates(), EngineSpeed()
+    rates, context.speed = LearnedRates(), EngineSpeed()
     for _ in range(calls):
         rates.saw_first_event(make_endpoint(), 1000, 0, 0.1, NOW_S)
     reports = SpeedReports(rates, "llm", context.speed)
@@ -106,7 +106,7 @@
 
 @given("an owner whose calls take {s:g} s, with {gap:g} s between events")
 def owner(context, s, gap):
-    context.rates, endpoint = LearntRates(), make_endpoint()
+    context.rates, endpoint = LearnedRates(), make_endpoint()
     for number in range(100):
         context.rates.saw_first_event(endpoint, 1000, 0, s, NOW_S + number)
         context.rates.saw_gap(endpoint, gap)
@@ -169,7 +169,7 @@
     record = EndpointRecord("e1", "llm", "127.0.0.1:1", "d1", 12, False, ("m",))
     endpoint = fleet.listed(record, NOW_S)
     endpoint.owner = "h1"
-    rates = LearntRates()
+    rates = LearnedRates()
     for number in range(100):
         rates.saw_first_event(endpoint, 1000, 0, 0.1, NOW_S + number)
         rates.saw_gap(endpoint, 0.05)
--- a/features/speeds/steps/using_steps.py
+++ b/features/speeds/steps/using_steps.py
@@ -5,7 +5,7 @@
     EndpointRecord,
     EndpointStart,
     Fleet,
-    LearntRates,
+    LearnedRates,
     LeastCostPlacement,
     ModelRef,
     PlacementAsk,
@@ -122,7 +122,7 @@
     "take {times:g} times as long there"
 )
 def times_as_long(context, times):
-    rates = LearntRates()
+    rates = LearnedRates()
     usual, slow = context.engines[0], context.engines[-1]
     for measure in (
         lambda each: rates.first_event_s(each, 1000, context.now_s),
@@ -136,7 +136,7 @@
 
 @when("{calls:d} calls there take {times:g} times as long as forecast")
 def calls_take(context, calls, times):
-    context.rates = LearntRates()
+    context.rates = LearnedRates()
     context.before_s = context.rates.first_event_s(context.engines[0], 1000, NOW_S)
     for number in range(calls):
         tokens = 500 + 37 * number % 1500
@@ -155,7 +155,7 @@
 @given("engines of speeds 1.0, 1.0 and {speeds} that run 3 calls each")
 def engines_of(context, speeds):
     publish(context, [1.0, 1.0, *(float(each) for each in speeds.split())])
-    context.rates = LearntRates()
+    context.rates = LearnedRates()
     context.rates.accept_pauses({"llm": 0.3})
     for number in range(40):
         engine = context.engines[0]
--- a/packages/core/src/knapweedbridge_core/serving/__init__.py
+++ b/packages/core/src/knapweedbridge_core/serving/__init__.py
@@ -50,7 +50,7 @@
     OrderAnswer,
     OrderKind,
 )
-from knapweedbridge_core.serving.engine_rates import EngineRates, LearntRates
+from knapweedbridge_core.serving.engine_rates import EngineRates, LearnedRates
 from knapweedbridge_core.serving.engine_speed import EngineSpeed
 from knapweedbridge_core.serving.engine_teller import EngineTeller, Telling
 from knapweedbridge_core.serving.fleet import Fleet
@@ -166,7 +166,7 @@
     "HearerMarks",
     "HeldKind",
     "LateAdmission",
-    "LearntRates",
+    "LearnedRates",
     "LeaseClock",
     "LoadOn",
     "LoadTimes",
--- a/packages/core/src/knapweedbridge_core/serving/engine_rates.py
+++ b/packages/core/src/knapweedbridge_core/serving/engine_rates.py
@@ -120,7 +120,7 @@
         """Take how long a call that was answered held its slot."""
 
 
-class LearntRates(EngineRates):
+class LearnedRates(EngineRates):
     """Learns from the calls of one daemon, by service and by engine."""
 
     def __init__(self) -> None:
--- a/packages/core/src/knapweedbridge_core/serving/placement.py
+++ b/packages/core/src/knapweedbridge_core/serving/placement.py
@@ -15,7 +15,7 @@
 
 from knapweedbridge_core.rendezvous import score
 from knapweedbridge_core.serving.endpoint import Endpoint
-from knapweedbridge_core.serving.engine_rates import EngineRates, LearntRates
+from knapweedbridge_core.serving.engine_rates import EngineRates, LearnedRates
 from knapweedbridge_core.serving.engine_speed import speed_factor
 from knapweedbridge_core.serving.load_times import WARM_LOAD_S, LoadTimes
 from knapweedbridge_core.serving.pause_price import LATE_S, paused_s
@@ -131,7 +131,7 @@
     def __init__(
         self, rates: EngineRates | None = None, times: LoadTimes | None = None
     ) -> None:
-        self.rates = rates or LearntRates()
+        self.rates = rates or LearnedRates()
         self._times = times or LoadTimes()
 
     def choose(
--- a/packages/daemon/src/knapweedbridge_daemon/serving/hub.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/hub.py
@@ -15,7 +15,7 @@
     EndpointPaths,
     EngineLimits,
     EngineRates,
-    LearntRates,
+    LearnedRates,
     LeaseClock,
     LoadTimes,
     MemoryBudget,
@@ -125,7 +125,7 @@
     crashes: CrashLedger = field(default_factory=CrashLedger)
     lease: LeaseClock = field(default_factory=LeaseClock)
     load_times: LoadTimes = field(default_factory=LoadTimes)
-    rates: EngineRates = field(default_factory=LearntRates)
+    rates: EngineRates = field(default_factory=LearnedRates)
     store_age: StoreAge = field(default_factory=StoreAge)
     outage: StoreOutage = field(default_factory=lambda: StoreOutage(SETTLE_S))
     steady_s: Callable[[], float] = suspended_clock_s
--- a/packages/standins/src/knapweedbridge_standins/serving_load/pool.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_load/pool.py
@@ -9,7 +9,7 @@
     EndpointRecord,
     EnginePlacement,
     EngineRates,
-    LearntRates,
+    LearnedRates,
     LeastCostPlacement,
     ModelRef,
     NoPacing,
@@ -59,7 +59,7 @@
         self.learn_speeds = bool(learn_speeds)
         self._own_rates = learn_speeds is not None
         self._counted_from_s = 0.0
-        self.rates = getattr(policy, "rates", None) or LearntRates()
+        self.rates = getattr(policy, "rates", None) or LearnedRates()
         if paced:
             self.rates.accept_pauses({"llm": site.gap_s})
         self.clock = VirtualClock()
@@ -117,7 +117,7 @@
         """Return the policy of one daemon, and what it learns of engines."""
         if not self._own_rates:
             return self.policy, self.rates
-        rates = LearntRates()
+        rates = LearnedRates()
         if self._paced:
             rates.accept_pauses({"llm": self.site.gap_s})
         return LeastCostPlacement(rates), rates
