--- a/packages/core/src/knapweedbridge_core/grant_side.py
+++ b/packages/core/src/knapweedbridge_core/grant_side.py
@@ -48,7 +48,7 @@
             events.StoreReplied: self._store_replied,
             messages.GrantRequest: self._grant_ask,
             messages.GrantReturned: self._grant_returned,
-            messages.GrantsHeld: self._grants_held,
+            messages.HeldGrants: self._grants_held,
         }
 
     def _grant_ask(self, message: messages.GrantRequest) -> None:
@@ -92,7 +92,7 @@
         if tenure is not None:
             tenure.ledger.release(message.model, message.attempt_id)
 
-    def _grants_held(self, message: messages.GrantsHeld) -> None:
+    def _grants_held(self, message: messages.HeldGrants) -> None:
         tenure = self._estate.tenures.get(message.endpoint)
         host, now_s = self._context.sender, self._context.now_s
         if tenure is None or tenure.number != message.number:
--- a/packages/core/src/knapweedbridge_core/holder_side.py
+++ b/packages/core/src/knapweedbridge_core/holder_side.py
@@ -81,7 +81,7 @@
             self._context.send(before, messages.OwnerRose(endpoint, number))
         self._context.send(sender, self._held_on(endpoint, number))
 
-    def _held_on(self, endpoint: str, number: int) -> messages.GrantsHeld:
+    def _held_on(self, endpoint: str, number: int) -> messages.HeldGrants:
         held = {
             attempt_id: grant.model
             for attempt_id, grant in self._held.items()
@@ -92,7 +92,7 @@
             for (place, model), intent in self._intents.items()
             if place == endpoint and intent.number < number
         ]
-        return messages.GrantsHeld(
+        return messages.HeldGrants(
             endpoint, number, list(held), list(held.values()), condemned
         )
 
--- a/packages/core/src/knapweedbridge_core/owner_messages.py
+++ b/packages/core/src/knapweedbridge_core/owner_messages.py
@@ -23,8 +23,8 @@
     number: int
 
 
-@message
-class GrantsHeld:
+@message(tag="GrantsHeld")
+class HeldGrants:
     """A holder tells its grants, and evictions that it witnessed the beginning of."""
 
     endpoint: str
