--- a/packages/core/src/knapweedbridge_core/serving/backpressure.py
+++ b/packages/core/src/knapweedbridge_core/serving/backpressure.py
@@ -59,7 +59,7 @@
         if self.is_limited or self.is_brittle:
             self.closed_until_s = max(self.closed_until_s, until_s)
 
-    def take_brittle(self, brittle_per_s: float | None, heard_s: float) -> bool:
+    def update_brittle_limit(self, brittle_per_s: float | None, heard_s: float) -> bool:
         """Record what an answer says of brittleness; return whether it changed."""
         if heard_s < self.brittle_heard_s:
             return False
--- a/packages/daemon/src/knapweedbridge_daemon/serving/answer_signs.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/answer_signs.py
@@ -87,7 +87,7 @@
         # As with a limit: only a later answer that is surely its own may end it.
         is_later = answer.genuine and sent_s > pressure.brittle_heard_s
         counts = per_s is not None or is_later
-        if counts and pressure.take_brittle(per_s, anyio.current_time()):
+        if counts and pressure.update_brittle_limit(per_s, anyio.current_time()):
             self._hub.log.info(
                 "endpoint.brittle", endpoint=endpoint.name, turned_away_per_s=per_s
             )
