--- a/bench/mutants_configuration.py
+++ b/bench/mutants_configuration.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from knapweedbridge_core import configuration_side
-from knapweedbridge_core.configuration_responder import ConfigurationGiver
+from knapweedbridge_core.configuration_responder import ConfigurationResponder
 from knapweedbridge_core.configuration_side import ConfigurationSide
 from knapweedbridge_daemon import configurations
 from knapweedbridge_standins import configuration_history
@@ -50,7 +50,7 @@
     (configurations, "verify", _unverified),
 ]
 NO_BASE = (" or message.base_token != held.token", "")
-GIVER = ConfigurationGiver
+GIVER = ConfigurationResponder
 LAST_DELTA = ("steps[tokens.index(token) :]", "steps[-1:]")
 NO_RESULT = ("if any(parts.digests", "if False and any(parts.digests")
 
--- a/packages/core/src/knapweedbridge_core/configuration_responder.py
+++ b/packages/core/src/knapweedbridge_core/configuration_responder.py
@@ -26,7 +26,7 @@
     )
 
 
-class ConfigurationGiver:
+class ConfigurationResponder:
     """Answers peers with changes while it keeps them, else with parts.
 
     Parameters
--- a/packages/core/src/knapweedbridge_core/configuration_side.py
+++ b/packages/core/src/knapweedbridge_core/configuration_side.py
@@ -13,7 +13,7 @@
 from knapweedbridge_core.configuration_responder import (
     PARTS_A_MESSAGE,
     SECTIONS_A_STEP,
-    ConfigurationGiver,
+    ConfigurationResponder,
     root_of,
 )
 from knapweedbridge_core.context import Context, Handler, Side
@@ -41,7 +41,7 @@
 
     def __init__(self, context: Context) -> None:
         super().__init__(context)
-        self._giver = ConfigurationGiver(context)
+        self._giver = ConfigurationResponder(context)
         self._fetch: _Fetch | None = None
         self._behind_since_s: float | None = None
         self._read_s: float | None = None
