--- a/bench/peer_messages.py
+++ b/bench/peer_messages.py
@@ -38,7 +38,7 @@
     Route,
     Service,
 )
-from knapweedbridge_core.serving.beliefs import (
+from knapweedbridge_core.serving.cluster_state import (
     DaemonNamed,
     DeploymentNamed,
     EndpointNamed,
--- a/features/accounts/steps/keeper_steps.py
+++ b/features/accounts/steps/keeper_steps.py
@@ -12,7 +12,7 @@
     QuotaUnit,
     RetryBudget,
 )
-from knapweedbridge_core.serving.beliefs import DaemonNamed, DeploymentNamed
+from knapweedbridge_core.serving.cluster_state import DaemonNamed, DeploymentNamed
 from knapweedbridge_daemon.serving.hub import Hub, Identity
 from knapweedbridge_daemon.serving.measures import Measures
 from knapweedbridge_daemon.serving.quota_shares import QuotaShares
--- a/features/listing/steps/removed_entry_steps.py
+++ b/features/listing/steps/removed_entry_steps.py
@@ -7,7 +7,7 @@
 from behave import given, then, when
 
 from knapweedbridge_core.serving import Beliefs, DaemonRecord, Endpoint, StoreOutage
-from knapweedbridge_core.serving.beliefs import DaemonNamed
+from knapweedbridge_core.serving.cluster_state import DaemonNamed
 from knapweedbridge_daemon.serving.side_faces import SideFaces
 from knapweedbridge_standins.relay_pool import RelayPool
 from knapweedbridge_standins.serving_histories import HISTORIES
--- a/features/plain/steps/counting_steps.py
+++ b/features/plain/steps/counting_steps.py
@@ -11,7 +11,7 @@
     EndpointRecord,
     PlainAsk,
 )
-from knapweedbridge_core.serving.beliefs import EndpointNamed
+from knapweedbridge_core.serving.cluster_state import EndpointNamed
 from knapweedbridge_core.serving.permit_messages import PermitAnswered
 from knapweedbridge_daemon.serving.plain_counters import counting_daemon
 from knapweedbridge_daemon.serving.plain_greeting import is_of_plain
--- a/features/platform/steps/upgrade_steps.py
+++ b/features/platform/steps/upgrade_steps.py
@@ -20,7 +20,7 @@
     DaemonRecord,
     understands,
 )
-from knapweedbridge_core.serving.beliefs import DaemonNamed, ProtocolNamed
+from knapweedbridge_core.serving.cluster_state import DaemonNamed, ProtocolNamed
 from knapweedbridge_core.serving.permit_messages import PermitAsked, RoomAsked
 
 GRACE_S = 3
--- a/features/serving/steps/belief_steps.py
+++ b/features/serving/steps/belief_steps.py
@@ -17,7 +17,7 @@
     ranked,
     relays,
 )
-from knapweedbridge_core.serving.beliefs import (
+from knapweedbridge_core.serving.cluster_state import (
     DaemonNamed,
     DeploymentNamed,
     EndpointNamed,
--- a/features/serving/steps/kept_view_steps.py
+++ b/features/serving/steps/kept_view_steps.py
@@ -21,7 +21,7 @@
     OwnerRecord,
     Service,
 )
-from knapweedbridge_core.serving.beliefs import (
+from knapweedbridge_core.serving.cluster_state import (
     DaemonNamed,
     EndpointGone,
     EndpointNamed,
--- a/features/serving/steps/late_news_steps.py
+++ b/features/serving/steps/late_news_steps.py
@@ -4,7 +4,7 @@
 from behave import given, then, when
 
 from knapweedbridge_core.serving import Beliefs, DaemonRecord
-from knapweedbridge_core.serving.beliefs import DaemonNamed
+from knapweedbridge_core.serving.cluster_state import DaemonNamed
 from knapweedbridge_core.serving.messages import RelayAsked, StoreTold
 from knapweedbridge_daemon.serving.store_telling import pack_items
 from knapweedbridge_daemon.serving.told_items import ToldItems
--- a/features/serving/steps/pool_size_steps.py
+++ b/features/serving/steps/pool_size_steps.py
@@ -4,7 +4,11 @@
 from behave import given, then, when
 
 from knapweedbridge_core.serving import Beliefs, DaemonRecord, EndpointRecord
-from knapweedbridge_core.serving.beliefs import DaemonGone, DaemonNamed, EndpointNamed
+from knapweedbridge_core.serving.cluster_state import (
+    DaemonGone,
+    DaemonNamed,
+    EndpointNamed,
+)
 from knapweedbridge_daemon.serving.believing import StoreFollower
 from knapweedbridge_daemon.store import StoreItems
 
--- a/features/serving/steps/relay_steps.py
+++ b/features/serving/steps/relay_steps.py
@@ -13,7 +13,7 @@
     StoreOutage,
     hearers,
 )
-from knapweedbridge_core.serving.beliefs import DaemonNamed, EndpointNamed
+from knapweedbridge_core.serving.cluster_state import DaemonNamed, EndpointNamed
 from knapweedbridge_core.serving.endpoint import OwnCount
 from knapweedbridge_core.serving.messages import (
     EngineChanged,
--- a/features/serving/steps/restart_steps.py
+++ b/features/serving/steps/restart_steps.py
@@ -20,7 +20,7 @@
     StoreOutage,
     parse_model,
 )
-from knapweedbridge_core.serving.beliefs import (
+from knapweedbridge_core.serving.cluster_state import (
     EndpointGone,
     EndpointNamed,
     EndpointUnreadable,
--- a/packages/core/src/knapweedbridge_core/serving/__init__.py
+++ b/packages/core/src/knapweedbridge_core/serving/__init__.py
@@ -19,7 +19,6 @@
     resumes,
 )
 from knapweedbridge_core.serving.backpressure import Backpressure
-from knapweedbridge_core.serving.beliefs import Belief, Beliefs
 from knapweedbridge_core.serving.brittle import RejectionBudget
 from knapweedbridge_core.serving.call_marks import (
     asked_of,
@@ -27,6 +26,7 @@
     refusal_keepers,
 )
 from knapweedbridge_core.serving.caller_wait import PendingRequest, UsualDeadlines
+from knapweedbridge_core.serving.cluster_state import Belief, Beliefs
 from knapweedbridge_core.serving.crash_parts import PartLedger
 from knapweedbridge_core.serving.crashes import CrashLedger
 from knapweedbridge_core.serving.deployment import (
--- a/packages/daemon/src/knapweedbridge_daemon/serving/believing.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/believing.py
@@ -7,7 +7,7 @@
 import anyio
 
 from knapweedbridge_core.serving import era_of
-from knapweedbridge_core.serving.beliefs import (
+from knapweedbridge_core.serving.cluster_state import (
     Belief,
     CallAllowed,
     CallRefused,
--- a/packages/daemon/src/knapweedbridge_daemon/serving/dialects.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/dialects.py
@@ -15,7 +15,7 @@
     Order,
     OrderAnswer,
 )
-from knapweedbridge_core.serving.beliefs import Belief
+from knapweedbridge_core.serving.cluster_state import Belief
 from knapweedbridge_daemon.errors import DaemonError
 from knapweedbridge_daemon.serving.wire import (
     Headers,
--- a/packages/daemon/src/knapweedbridge_daemon/serving/item_reading.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/item_reading.py
@@ -1,6 +1,6 @@
 """Reads items of the platform's store as beliefs, and tells of those it cannot read."""
 
-from knapweedbridge_core.serving.beliefs import Belief, EndpointUnreadable
+from knapweedbridge_core.serving.cluster_state import Belief, EndpointUnreadable
 from knapweedbridge_daemon.serving.dialects import DialectError
 from knapweedbridge_daemon.serving.hub import Hub
 from knapweedbridge_daemon.serving.own_records import read_own
--- a/packages/daemon/src/knapweedbridge_daemon/serving/own_records.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/own_records.py
@@ -3,7 +3,7 @@
 import msgpack
 
 from knapweedbridge_core.serving import DaemonRecord, OwnerRecord
-from knapweedbridge_core.serving.beliefs import (
+from knapweedbridge_core.serving.cluster_state import (
     Belief,
     CallAllowed,
     CallRefused,
--- a/packages/standins/src/knapweedbridge_standins/relay_pool/pool.py
+++ b/packages/standins/src/knapweedbridge_standins/relay_pool/pool.py
@@ -7,7 +7,7 @@
 from anyio.abc import TaskGroup
 
 from knapweedbridge_core.serving import DaemonRecord, RetryBudget
-from knapweedbridge_core.serving.beliefs import DaemonNamed
+from knapweedbridge_core.serving.cluster_state import DaemonNamed
 from knapweedbridge_daemon.serving.believing import StoreFollower
 from knapweedbridge_daemon.serving.dialects import OwnKeys
 from knapweedbridge_daemon.serving.hub import Hub, Identity
--- a/packages/standins/src/knapweedbridge_standins/relay_pool/store.py
+++ b/packages/standins/src/knapweedbridge_standins/relay_pool/store.py
@@ -7,7 +7,11 @@
 import msgpack
 
 from knapweedbridge_core.serving import EndpointRecord
-from knapweedbridge_core.serving.beliefs import Belief, EndpointGone, EndpointNamed
+from knapweedbridge_core.serving.cluster_state import (
+    Belief,
+    EndpointGone,
+    EndpointNamed,
+)
 from knapweedbridge_daemon.errors import StoreError
 from knapweedbridge_daemon.store import (
     Committed,
--- a/packages/standins/src/knapweedbridge_standins/serving_histories/beliefs.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_histories/beliefs.py
@@ -3,7 +3,7 @@
 import random
 
 from knapweedbridge_core.serving import Beliefs, Deployment, ModelRef, OwnerRecord
-from knapweedbridge_core.serving.beliefs import (
+from knapweedbridge_core.serving.cluster_state import (
     DeploymentNamed,
     OwnerNamed,
     VersionNamed,
--- a/packages/standins/src/knapweedbridge_standins/serving_histories/eras.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_histories/eras.py
@@ -4,7 +4,7 @@
 
 from knapweedbridge_core.serving import Beliefs, OwnerRecord, era_of
 from knapweedbridge_core.serving import store_eras as store_eras_module
-from knapweedbridge_core.serving.beliefs import OwnerNamed
+from knapweedbridge_core.serving.cluster_state import OwnerNamed
 
 ENGINE = "e1"
 
--- a/packages/standins/src/knapweedbridge_standins/serving_histories/owners.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_histories/owners.py
@@ -11,7 +11,7 @@
     claim_due_s,
     claimants,
 )
-from knapweedbridge_core.serving.beliefs import DaemonNamed, OwnerGone, OwnerNamed
+from knapweedbridge_core.serving.cluster_state import DaemonNamed, OwnerGone, OwnerNamed
 
 TICK_S = 0.05
 LEASE_S = 1.5
--- a/packages/standins/src/knapweedbridge_standins/serving_histories/versions.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_histories/versions.py
@@ -16,7 +16,7 @@
     SendTo,
     WaitFor,
 )
-from knapweedbridge_core.serving.beliefs import VersionNamed
+from knapweedbridge_core.serving.cluster_state import VersionNamed
 from knapweedbridge_core.serving.endpoint import HeldAdapter
 from knapweedbridge_daemon.serving.patience import WITHDRAWN_S
 
