--- a/packages/core/src/knapweedbridge_core/member_side.py
+++ b/packages/core/src/knapweedbridge_core/member_side.py
@@ -41,7 +41,7 @@
             events.PeerDisconnected: self._peer_unlinked,
             events.PeerMessage: self._peer_heard,
             messages.Heartbeat: self._heartbeat,
-            messages.MembersAsk: self._members_ask,
+            messages.MembersRequest: self._members_ask,
             messages.MembersTold: self._members_told,
             messages.SilenceAsk: self._suspicions.asked,
             messages.SilenceTold: self._suspicions.told,
@@ -73,7 +73,7 @@
         self._context.members.unsure = True
         self._unsure_until_s = self._context.now_s + SYNC_WAIT_S
         for host in self._context.members.neighbours():
-            self._context.send(host, messages.MembersAsk())
+            self._context.send(host, messages.MembersRequest())
 
     def _settle(self) -> None:
         members = self._context.members
@@ -179,9 +179,9 @@
         lasting = now_s - self._differs_since_s >= SYNC_WAIT_S
         if lasting and now_s - self._synced_s >= SYNC_PAUSE_S:
             self._synced_s = now_s
-            self._context.send(message.host, messages.MembersAsk())
+            self._context.send(message.host, messages.MembersRequest())
 
-    def _members_ask(self, message: messages.MembersAsk) -> None:
+    def _members_ask(self, message: messages.MembersRequest) -> None:
         states = [self._own, *self._context.members.states()]
         self._beat([self._context.sender])
         self._context.send(self._context.sender, messages.MembersTold(states))
--- a/packages/core/src/knapweedbridge_core/membership_messages.py
+++ b/packages/core/src/knapweedbridge_core/membership_messages.py
@@ -61,8 +61,8 @@
     """The answer to a probe."""
 
 
-@message
-class MembersAsk:
+@message(tag="MembersAsk")
+class MembersRequest:
     """A daemon that may have missed something asks for all members."""
 
 
--- a/packages/core/src/knapweedbridge_core/messages.py
+++ b/packages/core/src/knapweedbridge_core/messages.py
@@ -44,7 +44,7 @@
 from knapweedbridge_core.membership_messages import (
     Heartbeat,
     Introduction,
-    MembersAsk,
+    MembersRequest,
     MembersTold,
     ProbeAsk,
     ProbeTold,
@@ -92,7 +92,7 @@
     "LoadRefused",
     "LoadWanted",
     "MAX_MESSAGE_BYTES",
-    "MembersAsk",
+    "MembersRequest",
     "MembersTold",
     "OwnerRose",
     "PartTold",
