--- a/packages/core/src/knapweedbridge_core/serving/backpressure.py
+++ b/packages/core/src/knapweedbridge_core/serving/backpressure.py
@@ -37,7 +37,7 @@
     rests_until_s: float = -math.inf
     closed_until_s: float = -math.inf
 
-    def take_limit(self, limit_per_s: float | None, heard_s: float) -> bool:
+    def update_limit(self, limit_per_s: float | None, heard_s: float) -> bool:
         """Take the limit that an answer names, or that it names none.
 
         Returns
--- a/packages/core/src/knapweedbridge_core/serving/permits.py
+++ b/packages/core/src/knapweedbridge_core/serving/permits.py
@@ -45,7 +45,7 @@
         self._filled_s = begins_s
         self._level = 0.0
 
-    def take_limit(
+    def update_limit(
         self, limit_per_s: float | None, heard_s: float, now_s: float
     ) -> bool:
         """Take what a daemon has heard of the limit; tell whether that is news."""
--- a/packages/daemon/src/knapweedbridge_daemon/serving/answer_signs.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/answer_signs.py
@@ -66,7 +66,7 @@
             if not endpoint.pressure.is_limited or not (answer.genuine and is_later):
                 return
         before_per_s = endpoint.pressure.limit_per_s
-        if not endpoint.pressure.take_limit(answer.limit_per_s, anyio.current_time()):
+        if not endpoint.pressure.update_limit(answer.limit_per_s, anyio.current_time()):
             return
         self._hub.measures.count(
             "endpoint_limits", "ended" if answer.limit_per_s is None else "named"
--- a/packages/daemon/src/knapweedbridge_daemon/serving/permits.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/permits.py
@@ -189,7 +189,7 @@
     def _take_limit(self, endpoint: Endpoint, message: LimitTold) -> None:
         before_per_s = endpoint.pressure.limit_per_s
         heard_s = anyio.current_time() - message.age_s
-        if endpoint.pressure.take_limit(message.limit_per_s, heard_s):
+        if endpoint.pressure.update_limit(message.limit_per_s, heard_s):
             self._hub.log.info(
                 "endpoint.limited",
                 endpoint=endpoint.name,
@@ -238,7 +238,7 @@
         now_s = anyio.current_time()
         pacer = self._pacer(endpoint, now_s)
         heard_s = now_s - message.age_s
-        if pacer.take_limit(message.limit_per_s, heard_s, now_s):
+        if pacer.update_limit(message.limit_per_s, heard_s, now_s):
             await self._tell_all(endpoint, pacer, now_s)
         if isinstance(message, PermitAsked):
             leased = self._hub.lease.may_order(suspended_clock_s())
