--- a/packages/core/src/knapweedbridge_core/configuration_responder.py
+++ b/packages/core/src/knapweedbridge_core/configuration_responder.py
@@ -39,7 +39,7 @@
         self._context = context
         self._steps: deque[_Step] = deque(maxlen=KEPT_STEPS)
 
-    def keep_step(self, base_token: str, changes: Changes) -> None:
+    def record_delta(self, base_token: str, changes: Changes) -> None:
         """Keep the changes that lead on from the configuration of a token."""
         self._steps.append(_Step(base_token, changes))
 
--- a/packages/core/src/knapweedbridge_core/configuration_side.py
+++ b/packages/core/src/knapweedbridge_core/configuration_side.py
@@ -198,7 +198,7 @@
         configuration = change(
             held, message.generation, message.token, parts, message.sections
         )
-        self._giver.keep_step(held.token, message.sections)
+        self._giver.record_delta(held.token, message.sections)
         self._put_in_force(configuration, self._context.sender)
 
     def _root(self, message: messages.ConfigurationRoot) -> None:
@@ -261,7 +261,7 @@
             self._giver.forget_steps()
         else:
             configuration = change(held, root.generation, root.token, parts, changes)
-            self._giver.keep_step(held.token, changes)
+            self._giver.record_delta(held.token, changes)
         self._put_in_force(configuration, source)
 
     @staticmethod
