--- a/bench/mutants_serving.py
+++ b/bench/mutants_serving.py
@@ -126,7 +126,7 @@
     ),
     "endpoints that fell out of the list are kept": (
         "who is leaving",
-        [(Endpoint, "note_unlisted", lambda self, now_s, lapsed_until_s: None)],
+        [(Endpoint, "record_unlisted", lambda self, now_s, lapsed_until_s: None)],
     ),
     "an outage goes on until its failures show": (
         "who is leaving",
--- a/packages/core/src/knapweedbridge_core/serving/endpoint.py
+++ b/packages/core/src/knapweedbridge_core/serving/endpoint.py
@@ -170,7 +170,7 @@
         """Note that it has an entry."""
         self.unlisted_s, self.lapsed_until_s = None, math.inf
 
-    def note_unlisted(self, now_s: float, lapsed_until_s: float) -> None:
+    def record_unlisted(self, now_s: float, lapsed_until_s: float) -> None:
         """Note that its entry was removed, but may have lapsed."""
         if self.unlisted_s is None:
             self.unlisted_s, self.lapsed_until_s = now_s, lapsed_until_s
--- a/packages/core/src/knapweedbridge_core/serving/fleet.py
+++ b/packages/core/src/knapweedbridge_core/serving/fleet.py
@@ -247,7 +247,7 @@
         if endpoint is None:
             return
         if now_s < lapsed_until_s and not endpoint.leaves:
-            endpoint.note_unlisted(now_s, lapsed_until_s)
+            endpoint.record_unlisted(now_s, lapsed_until_s)
             self._lapsed[name] = endpoint
             return
         self._drop(endpoint, now_s)
