--- a/packages/core/src/knapweedbridge_core/serving/cluster_state.py
+++ b/packages/core/src/knapweedbridge_core/serving/cluster_state.py
@@ -5,25 +5,6 @@
 from itertools import chain
 
 from knapweedbridge_core.rendezvous import choose
-from knapweedbridge_core.serving.belief_records import (
-    Belief,
-    CallAllowed,
-    CallRefused,
-    DaemonGone,
-    DaemonNamed,
-    DeploymentNamed,
-    EndpointGone,
-    EndpointNamed,
-    EndpointUnreadable,
-    LinksBack,
-    LinksLost,
-    OwnerGone,
-    OwnerNamed,
-    ProtocolNamed,
-    SecretNamed,
-    SoftwareRecorded,
-    VersionNamed,
-)
 from knapweedbridge_core.serving.deployment import Deployment
 from knapweedbridge_core.serving.endpoint_records import EndpointRecord
 from knapweedbridge_core.serving.fleet import Fleet
@@ -43,6 +24,25 @@
     relays,
 )
 from knapweedbridge_core.serving.protocols import FIRST_PROTOCOL
+from knapweedbridge_core.serving.store_events import (
+    Belief,
+    CallAllowed,
+    CallRefused,
+    DaemonGone,
+    DaemonNamed,
+    DeploymentNamed,
+    EndpointGone,
+    EndpointNamed,
+    EndpointUnreadable,
+    LinksBack,
+    LinksLost,
+    OwnerGone,
+    OwnerNamed,
+    ProtocolNamed,
+    SecretNamed,
+    SoftwareRecorded,
+    VersionNamed,
+)
 
 __all__ = [
     "Belief",
--- a/packages/standins/src/knapweedbridge_standins/serving_histories/stream_origins.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_histories/stream_origins.py
@@ -24,7 +24,9 @@
     StreamOrigin,
     WeightedService,
 )
-from knapweedbridge_core.serving.belief_records import (
+from knapweedbridge_core.serving.origin_messages import OriginAsked, OriginsRecorded
+from knapweedbridge_core.serving.protocols import understands
+from knapweedbridge_core.serving.store_events import (
     Belief,
     DaemonGone,
     DaemonNamed,
@@ -34,8 +36,6 @@
     ProtocolNamed,
     SoftwareRecorded,
 )
-from knapweedbridge_core.serving.origin_messages import OriginAsked, OriginsRecorded
-from knapweedbridge_core.serving.protocols import understands
 from knapweedbridge_core.serving.stream_origins import SWEEP_S
 from knapweedbridge_daemon.serving.call import Call
 from knapweedbridge_daemon.serving.dialects import CallDetails
