--- a/packages/core/src/knapweedbridge_core/member_side.py
+++ b/packages/core/src/knapweedbridge_core/member_side.py
@@ -42,7 +42,7 @@
             events.PeerMessage: self._peer_heard,
             messages.Heartbeat: self._heartbeat,
             messages.MembersRequest: self._members_ask,
-            messages.MembersTold: self._members_told,
+            messages.MemberList: self._members_told,
             messages.SilenceAsk: self._suspicions.asked,
             messages.SilenceTold: self._suspicions.told,
             messages.ProbeAsk: self._probe_ask,
@@ -184,9 +184,9 @@
     def _members_ask(self, message: messages.MembersRequest) -> None:
         states = [self._own, *self._context.members.states()]
         self._beat([self._context.sender])
-        self._context.send(self._context.sender, messages.MembersTold(states))
+        self._context.send(self._context.sender, messages.MemberList(states))
 
-    def _members_told(self, message: messages.MembersTold) -> None:
+    def _members_told(self, message: messages.MemberList) -> None:
         for state in message.states:
             self._take(MemberState(*state))
         self._context.members.unsure = self._context.isolated
--- a/packages/core/src/knapweedbridge_core/membership_messages.py
+++ b/packages/core/src/knapweedbridge_core/membership_messages.py
@@ -66,8 +66,8 @@
     """A daemon that may have missed something asks for all members."""
 
 
-@message
-class MembersTold:
+@message(tag="MembersTold")
+class MemberList:
     """All members as the sender sees them, each a `members.MemberState`."""
 
     states: list[Any]
--- a/packages/core/src/knapweedbridge_core/messages.py
+++ b/packages/core/src/knapweedbridge_core/messages.py
@@ -44,8 +44,8 @@
 from knapweedbridge_core.membership_messages import (
     Heartbeat,
     Introduction,
+    MemberList,
     MembersRequest,
-    MembersTold,
     ProbeAsk,
     ProbeTold,
     SilenceAsk,
@@ -93,7 +93,7 @@
     "LoadWanted",
     "MAX_MESSAGE_BYTES",
     "MembersRequest",
-    "MembersTold",
+    "MemberList",
     "OwnerRose",
     "PartTold",
     "PartsAsk",
