--- a/packages/core/src/knapweedbridge_core/serving/backpressure.py
+++ b/packages/core/src/knapweedbridge_core/serving/backpressure.py
@@ -54,7 +54,7 @@
             self.closed_until_s = self.rests_until_s
         return changed
 
-    def note_no_permit(self, until_s: float) -> None:
+    def record_no_permit(self, until_s: float) -> None:
         """Note that no permit can be had before a moment."""
         if self.is_limited or self.is_brittle:
             self.closed_until_s = max(self.closed_until_s, until_s)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/permits.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/permits.py
@@ -110,7 +110,7 @@
         self._hub.measures.count("permits", "refused" if wait_s else "taken")
         if wait_s:
             until_s = anyio.current_time() + wait_s
-            endpoint.pressure.note_no_permit(until_s)
+            endpoint.pressure.record_no_permit(until_s)
         return not wait_s
 
     async def _ask(
