--- a/packages/core/src/knapweedbridge_core/configuration_responder.py
+++ b/packages/core/src/knapweedbridge_core/configuration_responder.py
@@ -43,7 +43,7 @@
         """Keep the changes that lead on from the configuration of a token."""
         self._steps.append(_Step(base_token, changes))
 
-    def forget_steps(self) -> None:
+    def clear_deltas(self) -> None:
         """Forget all changes, as none lead to what comes into force now."""
         self._steps.clear()
 
--- a/packages/core/src/knapweedbridge_core/configuration_side.py
+++ b/packages/core/src/knapweedbridge_core/configuration_side.py
@@ -258,7 +258,7 @@
         changes = self._small_changes(held, parts)
         if changes is None:
             configuration, _ = build_parts(root.generation, root.token, parts)
-            self._giver.forget_steps()
+            self._giver.clear_deltas()
         else:
             configuration = change(held, root.generation, root.token, parts, changes)
             self._giver.record_delta(held.token, changes)
