--- a/features/serving/steps/decision_steps.py
+++ b/features/serving/steps/decision_steps.py
@@ -100,7 +100,7 @@
 @given('c held "m/x" lately and its owner is silent')
 def c_silent(context):
     c_held(context)
-    engine(context, "c").note_asked(NOW_S - 1)
+    engine(context, "c").record_owner_request(NOW_S - 1)
 
 
 @given('b holds "m/x" and b has {tokens:d} unread')
--- a/packages/core/src/knapweedbridge_core/serving/endpoint.py
+++ b/packages/core/src/knapweedbridge_core/serving/endpoint.py
@@ -184,7 +184,7 @@
         """Return for how long its entry has been missing; None where it is listed."""
         return None if self.unlisted_s is None else now_s - self.unlisted_s
 
-    def note_asked(self, now_s: float) -> None:
+    def record_owner_request(self, now_s: float) -> None:
         """Note that its owner was asked for something, and has not answered yet."""
         if self.asked_s is None:
             self.asked_s = now_s
--- a/packages/daemon/src/knapweedbridge_daemon/serving/placing.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/placing.py
@@ -257,7 +257,7 @@
             version=version,
         )
         if endpoint.owner:
-            endpoint.note_asked(anyio.current_time())
+            endpoint.record_owner_request(anyio.current_time())
             wanted = AdapterWanted(endpoint.name, model.base, model.adapter, version)
             await self._link.send(endpoint.owner, wanted)
 
--- a/packages/daemon/src/knapweedbridge_daemon/serving/turns.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/turns.py
@@ -67,7 +67,7 @@
         ticket = next(self._tickets)
         given = self._waiting[ticket] = anyio.Event()
         try:
-            endpoint.note_asked(now_s)
+            endpoint.record_owner_request(now_s)
             asked = TurnAsked(endpoint.name, ticket, tokens, urgency)
             await self._send(endpoint.owner, asked)
             with anyio.move_on_after(ANSWER_S):
--- a/packages/standins/src/knapweedbridge_standins/serving_load/daemon.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_load/daemon.py
@@ -126,7 +126,7 @@
         call.accepted = not isinstance(choice, NoEngine)
         if isinstance(choice, LoadOn) and now_s - call.asked_s > WANT_AGAIN_S:
             call.asked_s = now_s
-            choice.endpoint.note_asked(now_s)
+            choice.endpoint.record_owner_request(now_s)
             self._want(choice.endpoint.name, call.model)
         pause_s = LOOK_S
         if isinstance(choice, WaitFor):
