--- a/packages/standins/src/knapweedbridge_standins/serving_histories/__init__.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_histories/__init__.py
@@ -5,7 +5,7 @@
 """
 
 from knapweedbridge_standins.serving_histories.answers import play_answers
-from knapweedbridge_standins.serving_histories.beliefs import play_beliefs
+from knapweedbridge_standins.serving_histories.cluster import play_beliefs
 from knapweedbridge_standins.serving_histories.eras import play_eras
 from knapweedbridge_standins.serving_histories.late_news import play_late_news
 from knapweedbridge_standins.serving_histories.leaving import play_leaving
