--- a/packages/core/src/knapweedbridge_core/member_side.py
+++ b/packages/core/src/knapweedbridge_core/member_side.py
@@ -43,7 +43,7 @@
             messages.Heartbeat: self._heartbeat,
             messages.MembersRequest: self._members_ask,
             messages.MemberList: self._members_told,
-            messages.SilenceAsk: self._suspicions.asked,
+            messages.IndirectProbeRequest: self._suspicions.asked,
             messages.SilenceTold: self._suspicions.told,
             messages.ProbeAsk: self._probe_ask,
         }
--- a/packages/core/src/knapweedbridge_core/membership_messages.py
+++ b/packages/core/src/knapweedbridge_core/membership_messages.py
@@ -36,8 +36,8 @@
     administration: str
 
 
-@message
-class SilenceAsk:
+@message(tag="SilenceAsk")
+class IndirectProbeRequest:
     """A daemon hears nothing from another and asks whether this one does."""
 
     host: str
--- a/packages/core/src/knapweedbridge_core/messages.py
+++ b/packages/core/src/knapweedbridge_core/messages.py
@@ -43,12 +43,12 @@
 )
 from knapweedbridge_core.membership_messages import (
     Heartbeat,
+    IndirectProbeRequest,
     Introduction,
     MemberList,
     MembersRequest,
     ProbeAsk,
     ProbeTold,
-    SilenceAsk,
     SilenceTold,
 )
 from knapweedbridge_core.owner_messages import (
@@ -99,7 +99,7 @@
     "PartsAsk",
     "ProbeAsk",
     "ProbeTold",
-    "SilenceAsk",
+    "IndirectProbeRequest",
     "SilenceTold",
     "SlotDeclined",
     "SlotWanted",
--- a/packages/core/src/knapweedbridge_core/suspicions.py
+++ b/packages/core/src/knapweedbridge_core/suspicions.py
@@ -73,7 +73,7 @@
             self._trials.remove(trial)
             self._context.send(trial.asker, messages.SilenceTold(trial.host, False))
 
-    def asked(self, message: messages.SilenceAsk) -> None:
+    def asked(self, message: messages.IndirectProbeRequest) -> None:
         """Try a daemon for another one."""
         wait_s = self._context.silence_s * ANSWER_SHARE
         ends_s = self._context.now_s + wait_s
@@ -104,7 +104,7 @@
             if member.name not in self._open
         ]
         wait_s = self._context.silence_s * (0.5 + ANSWER_SHARE)
-        message = messages.SilenceAsk(suspicion.host)
+        message = messages.IndirectProbeRequest(suspicion.host)
         for helper in suspicion.ask(others, self._context.now_s, wait_s):
             self._context.send(helper, message)
 
