--- a/features/backpressure/steps/pause_steps.py
+++ b/features/backpressure/steps/pause_steps.py
@@ -63,7 +63,9 @@
 @when("a draft waits for its turn at an engine that then leaves")
 @played(lease_ms=3000)
 async def leaves_meanwhile(context, path):
-    context.found = await mark_and_send(path, lambda pressure: pressure.take_leaving())
+    context.found = await mark_and_send(
+        path, lambda pressure: pressure.record_draining()
+    )
 
 
 @when("a draft waits for its turn at an engine that then asks for rest")
--- a/packages/core/src/knapweedbridge_core/serving/backpressure.py
+++ b/packages/core/src/knapweedbridge_core/serving/backpressure.py
@@ -75,7 +75,7 @@
         """Whether it falls over when it turns away too many calls."""
         return self.brittle_per_s is not None
 
-    def take_leaving(self) -> bool:
+    def record_draining(self) -> bool:
         """Take that an answer says that it leaves; tell whether that is news."""
         is_new = not self.leaves
         self.leaves = True
--- a/packages/daemon/src/knapweedbridge_daemon/serving/answer_signs.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/answer_signs.py
@@ -41,7 +41,7 @@
         await self._take_brittle(endpoint, answer, sent_s)
 
     def _take_leaving(self, endpoint: Endpoint, answer: AnswerHead) -> None:
-        if answer.leaves and endpoint.pressure.take_leaving():
+        if answer.leaves and endpoint.pressure.record_draining():
             self._hub.measures.count("endpoint_leavings")
             self._hub.log.info("endpoint.leaving", endpoint=endpoint.name)
             self._hub.engines_changed.tell()
--- a/packages/standins/src/knapweedbridge_standins/serving_histories/answers.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_histories/answers.py
@@ -61,7 +61,7 @@
         self._expected.rests_until_s = until_s
 
     def _leaves(self) -> None:
-        self._fleet.endpoints[NAME].pressure.take_leaving()
+        self._fleet.endpoints[NAME].pressure.record_draining()
         self._expected.leaves = True
 
     def _starts_again(self) -> None:
