--- a/packages/core/src/knapweedbridge_core/configuration_side.py
+++ b/packages/core/src/knapweedbridge_core/configuration_side.py
@@ -60,7 +60,7 @@
             events.PartsRead: self._parts_read,
             events.RootSeen: self._root_seen,
             messages.Heartbeat: self._heartbeat,
-            messages.ConfigurationAsk: self._giver.give_changes,
+            messages.ConfigurationAsk: self._giver.send_changes,
             messages.ConfigurationChanged: self._changed,
             messages.ConfigurationRoot: self._root,
             messages.PartsAsk: self._giver.give_parts,
