--- a/packages/core/src/knapweedbridge_core/serving/endpoint.py
+++ b/packages/core/src/knapweedbridge_core/serving/endpoint.py
@@ -252,7 +252,7 @@
         self.pace_scale = message.pace_scale
         self.bases = set(message.bases)
 
-    def note_counted(self, now_s: float) -> None:
+    def record_reported_load(self, now_s: float) -> None:
         """Note that the owner was told of this daemon's calls as they are."""
         self.counted.append(OwnCount(now_s, self.own_calls, self.own_unread_tokens))
 
--- a/packages/daemon/src/knapweedbridge_daemon/serving/running_calls.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/running_calls.py
@@ -182,4 +182,4 @@
                 *self.observed.take(start),
             )
             await self._send(endpoint.owner, told)
-            endpoint.note_counted(self._told_s[start])
+            endpoint.record_reported_load(self._told_s[start])
--- a/packages/standins/src/knapweedbridge_standins/serving_load/daemon.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_load/daemon.py
@@ -226,7 +226,7 @@
         self._due.discard(engine)
         calls = dict(+self._calls[engine])
         endpoint = self.fleet.endpoints[engine]
-        endpoint.note_counted(self.pool.clock.now_s)
+        endpoint.record_reported_load(self.pool.clock.now_s)
         unread = endpoint.own_unread_tokens
         owner = self.pool.owners[engine]
         seen = self.observed.take(endpoint.start)
