--- a/bench/mutants_serving.py
+++ b/bench/mutants_serving.py
@@ -284,7 +284,7 @@
                 StreamResuming,
                 "begun",
                 (
-                    "self._hub.beliefs.fleet.software.has_several(call.service, now_s)",
+                    "self._hub.cluster.fleet.software.has_several(call.service, now_s)",
                     "True",
                 ),
             )
--- a/bench/peer_messages.py
+++ b/bench/peer_messages.py
@@ -98,15 +98,15 @@
     limits = EngineLimits(12, 100_000, PLACES, 1000.0, 1.0)
     deployment = Deployment(1, (route,), {"llm": Service("llm", "/", 100, limits)})
     now_s = anyio.current_time()
-    beliefs = [DeploymentNamed(deployment)]
+    cluster = [DeploymentNamed(deployment)]
     for n in range(DAEMONS):
-        beliefs.append(DaemonNamed(DaemonRecord(f"h{n}", 1, "a", f"d{n % 4}")))
+        cluster.append(DaemonNamed(DaemonRecord(f"h{n}", 1, "a", f"d{n % 4}")))
     for n in range(ENGINES):
         record = EndpointRecord(f"e{n}", "llm", "a", f"d{n % 4}", 12, False, ("m",))
-        beliefs.append(EndpointNamed(replace(record, started_ms=1)))
-        beliefs.append(OwnerNamed(f"e{n}", OwnerRecord(f"h{n % DAEMONS}", 1, 7)))
-    for each in beliefs:
-        hub.beliefs.take(each, now_s)
+        cluster.append(EndpointNamed(replace(record, started_ms=1)))
+        cluster.append(OwnerNamed(f"e{n}", OwnerRecord(f"h{n % DAEMONS}", 1, 7)))
+    for each in cluster:
+        hub.cluster.take(each, now_s)
     hub.synced = True
     return hub
 
@@ -141,7 +141,7 @@
             started_ms=1,
             pace_scale=float(n % 3 == 1),
         )
-        hub.beliefs.fleet.take_told(told, anyio.current_time())
+        hub.cluster.fleet.take_told(told, anyio.current_time())
 
 
 async def relayed_us() -> float:
@@ -158,7 +158,7 @@
                 await link._take("h1", decode(value))
 
     taken_us = await measure_us(take_all)
-    told_orders = [each.told_order for each in link._hub.beliefs.fleet.engines()]
+    told_orders = [each.told_order for each in link._hub.cluster.fleet.engines()]
     assert sum(told_orders) == MESSAGES * ROWS, told_orders
     return taken_us / MESSAGES / ROWS
 
@@ -177,7 +177,7 @@
     tell_engines(hub)
     limits = hub.engine_limits("llm")
     assert limits is not None
-    endpoint = hub.beliefs.fleet.endpoints["e0"]
+    endpoint = hub.cluster.fleet.endpoints["e0"]
     sent: list[Any] = []
 
     async def send(daemon: str, message: Any) -> None:
@@ -235,7 +235,7 @@
 async def hearers_us() -> float:
     """Measure a relay's look for those that it tells."""
     hub = make_hub()
-    hub.identity.name = hub.beliefs.relays["d0"][0]
+    hub.identity.name = hub.cluster.relays["d0"][0]
     relaying = PeerLink(hub).relaying
     now_s = anyio.current_time()
 
--- a/features/accounts/steps/keeper_steps.py
+++ b/features/accounts/steps/keeper_steps.py
@@ -35,7 +35,7 @@
             identity, None, budget, log, Measures(), steady_s=anyio.current_time
         )
         for each in RECORDS:
-            self.hub.beliefs.take(DaemonNamed(each), 0.0)
+            self.hub.cluster.take(DaemonNamed(each), 0.0)
         self._peers = peers
         self._account = account
         self.shares = QuotaShares(self.hub, self._send)
@@ -44,7 +44,7 @@
 
     def name_accounts(self, version, accounts):
         deployment = Deployment(version, (), {}, accounts=Accounts(accounts))
-        self.hub.beliefs.take(DeploymentNamed(deployment), 0.0)
+        self.hub.cluster.take(DeploymentNamed(deployment), 0.0)
         self.shares.parts.refresh()
 
     def hear(self, version=2):
@@ -99,7 +99,7 @@
             keeper.hear()
             await anyio.sleep(KEPT_FOR_S)
         if "taken over" in state:
-            keeper.hub.beliefs.deployment = None
+            keeper.hub.cluster.deployment = None
             keeper.shares.parts._seen = (None, None)
             keeper.hear(3)
             await anyio.sleep(0.8)
--- a/features/limits/steps/pool_steps.py
+++ b/features/limits/steps/pool_steps.py
@@ -48,7 +48,7 @@
     for daemon in pool.daemons.values():
         daemon.hub.lease.ends_s = math.inf
     await anyio.sleep(SETTLED_S)
-    for centre in pool.daemons["h0"].hub.beliefs.relays.values():
+    for centre in pool.daemons["h0"].hub.cluster.relays.values():
         first, second = centre
         await pool.daemons[first].link.send(second, RelayAsked())
         await pool.daemons[second].link.send(first, RelayAsked())
@@ -57,7 +57,7 @@
 
 
 def endpoint_of(daemon):
-    return daemon.hub.beliefs.fleet.endpoints["e0"]
+    return daemon.hub.cluster.fleet.endpoints["e0"]
 
 
 async def hear_limit(daemon, limit_per_s, endpoint=None, sent_s=math.inf):
--- a/features/listing/steps/removed_entry_steps.py
+++ b/features/listing/steps/removed_entry_steps.py
@@ -36,10 +36,10 @@
 
 def relays(records):
     """Return the names of those that hand the store's changes on."""
-    beliefs = Beliefs()
+    cluster = Beliefs()
     for record in records:
-        beliefs.take(DaemonNamed(record), 0.0)
-    return set(chain.from_iterable(beliefs.relays.values()))
+        cluster.take(DaemonNamed(record), 0.0)
+    return set(chain.from_iterable(cluster.relays.values()))
 
 
 class Outage:
--- a/features/paths/steps/tunnel_steps.py
+++ b/features/paths/steps/tunnel_steps.py
@@ -89,14 +89,14 @@
 
 def hub_of(name, address, paths, draining=False):
     """Return the hub of a daemon that knows host-0, host-1 and an endpoint."""
-    beliefs = Beliefs(secret=SECRET)
+    cluster = Beliefs(secret=SECRET)
     for host in ("host-0", "host-1"):
-        beliefs.daemons[host] = DaemonRecord(host, 1, address, "d0")
+        cluster.daemons[host] = DaemonRecord(host, 1, address, "d0")
     record = SimpleNamespace(address="127.0.0.1:1")
-    beliefs.fleet.endpoints["e"] = SimpleNamespace(record=record)
+    cluster.fleet.endpoints["e"] = SimpleNamespace(record=record)
     return SimpleNamespace(
         identity=SimpleNamespace(name=name, incarnation=1),
-        beliefs=beliefs,
+        cluster=cluster,
         paths=paths,
         draining=draining,
         log=Log(),
@@ -117,7 +117,7 @@
 def asked_for_tunnel(context, what):
     hub = hub_of("host-1", "", paths_of(what), draining=what == "that drains")
     if "know the endpoint" in what:
-        hub.beliefs.fleet.endpoints.clear()
+        hub.cluster.fleet.endpoints.clear()
     carried = Forwarding(hub, 0 if "too many" in what else 10)
     serve_tunnel = None if "no tunnels" in what else carried.serve
 
@@ -361,7 +361,7 @@
 
 def forwarder_of(endpoint):
     hub = hub_of("host-1", "", EndpointPaths())
-    hub.beliefs.fleet.endpoints["e"].record.address = endpoint
+    hub.cluster.fleet.endpoints["e"].record.address = endpoint
     return hub
 
 
--- a/features/plain/steps/counting_steps.py
+++ b/features/plain/steps/counting_steps.py
@@ -54,7 +54,7 @@
         record = EndpointRecord(
             f"p{number}", "files", "10.0.0.1:80", f"d{number}", 6, False
         )
-        daemon.hub.beliefs.take(EndpointNamed(record), anyio.current_time())
+        daemon.hub.cluster.take(EndpointNamed(record), anyio.current_time())
 
 
 def count_messages(context, pool):
@@ -74,13 +74,13 @@
     for daemon in pool.daemons.values():
         for endpoint in endpoints_of(daemon):
             keeper = counting_daemon(daemon.hub, endpoint)
-            if not daemon.hub.beliefs.is_small_pool:
+            if not daemon.hub.cluster.is_small_pool:
                 await daemon.link.plain._asking._may_ask(keeper)
     await anyio.sleep(0.01)
 
 
 def endpoints_of(daemon):
-    return daemon.hub.beliefs.fleet.of_service("files", anyio.current_time())
+    return daemon.hub.cluster.fleet.of_service("files", anyio.current_time())
 
 
 async def place(daemon, data_centre="d0"):
--- a/features/plain/steps/entry_steps.py
+++ b/features/plain/steps/entry_steps.py
@@ -128,7 +128,7 @@
 
 
 def in_use(hub):
-    fleet, now_s = hub.beliefs.fleet, anyio.current_time()
+    fleet, now_s = hub.cluster.fleet, anyio.current_time()
     return {each.name: each for each in fleet.engines() if each.takes_work(now_s)}
 
 
@@ -162,7 +162,7 @@
     numbers = [record.slots, record.started_ms, *record.adapters.values()]
     if not all(0 <= each < MOST for each in numbers):
         return False
-    return bool(encode(hub.beliefs.fleet.tell_all(endpoint, 0.0)))
+    return bool(encode(hub.cluster.fleet.tell_all(endpoint, 0.0)))
 
 
 @when("{count:d} entries are taken that are {kind}")
--- a/features/platform/steps/upgrade_steps.py
+++ b/features/platform/steps/upgrade_steps.py
@@ -207,16 +207,16 @@
 
 @given("a daemon that {says}")
 def daemon_that(context, says):
-    context.beliefs = Beliefs()
-    context.beliefs.take(DaemonNamed(DaemonRecord("h1", 5, "a", "d")), 0.0)
+    context.cluster = Beliefs()
+    context.cluster.take(DaemonNamed(DaemonRecord("h1", 5, "a", "d")), 0.0)
     if SAID[says] is not None:
-        context.beliefs.take(ProtocolNamed("h1", *SAID[says]), 0.0)
+        context.cluster.take(ProtocolNamed("h1", *SAID[says]), 0.0)
 
 
 @when("it is sent a question for room and one for a permit")
 def is_sent(context):
     sent = [RoomAsked("e", 0, 2.0, 1), PermitAsked("e", 0, 2.0, 0.0, 2)]
-    protocol = context.beliefs.protocol_of("h1")
+    protocol = context.cluster.protocol_of("h1")
     context.got = [each for each in sent if understands(protocol, each)]
 
 
--- a/features/prompt_parts/steps/ledger_steps.py
+++ b/features/prompt_parts/steps/ledger_steps.py
@@ -243,9 +243,9 @@
     "each"
 )
 def tells_loss(context, pool, hosts):
-    beliefs = context.pool = Pool(hosts, pool == "small")
+    cluster = context.pool = Pool(hosts, pool == "small")
     hub = SimpleNamespace(
-        beliefs=beliefs,
+        cluster=cluster,
         identity=SimpleNamespace(name="host-0"),
         log=Nowhere(),
         measures=Nowhere(),
@@ -257,7 +257,7 @@
 
     async def tell():
         found = LossFound(anyio.current_time(), [], calls)
-        await BlameNotifier(hub, beliefs.send).notify_losses(
+        await BlameNotifier(hub, cluster.send).notify_losses(
             {"e1 0": found}, "unlisted"
         )
 
--- a/features/serving/steps/belief_steps.py
+++ b/features/serving/steps/belief_steps.py
@@ -63,9 +63,9 @@
 
 @given("host h1 at start 5 owned engine e1")
 def owned_before(context):
-    beliefs = context.beliefs = Beliefs()
-    beliefs.take(DaemonNamed(DaemonRecord("h1", 5, "a", "d1")), NOW_S)
-    beliefs.take(OwnerNamed("e1", OwnerRecord("h1", 5, 40)), NOW_S)
+    cluster = context.cluster = Beliefs()
+    cluster.take(DaemonNamed(DaemonRecord("h1", 5, "a", "d1")), NOW_S)
+    cluster.take(OwnerNamed("e1", OwnerRecord("h1", 5, 40)), NOW_S)
 
 
 CHANGES = {
@@ -90,13 +90,13 @@
     for change in changes.split(" and "):
         context.now_s += 11 if change == "11 s pass" else 0
         for belief in CHANGES[change]:
-            context.beliefs.take(belief, context.now_s)
+            context.cluster.take(belief, context.now_s)
 
 
 @then("e1 is ownerless: {free}, and may still be ordered by h1: {may}")
 def is_ownerless(context, free, may):
-    assert context.beliefs.is_ownerless("e1") == (free == "yes")
-    lost = context.beliefs.silent_predecessors("e1", context.now_s, LEASE_S)
+    assert context.cluster.is_ownerless("e1") == (free == "yes")
+    lost = context.cluster.silent_predecessors("e1", context.now_s, LEASE_S)
     assert ("h1" in {each.record.owner for each in lost}) == (may == "yes"), lost
 
 
@@ -121,26 +121,26 @@
 
 @when("{what} at 5 is followed by 4")
 def followed(context, what):
-    beliefs = context.beliefs = Beliefs()
+    cluster = context.cluster = Beliefs()
     for number in (5, 4):
-        beliefs.take(BELIEFS[what](number), NOW_S)
+        cluster.take(BELIEFS[what](number), NOW_S)
 
 
 @then("5 is believed")
 def five_believed(context):
-    beliefs = context.beliefs
+    cluster = context.cluster
     found = [
-        beliefs.deployment and beliefs.deployment.version,
-        beliefs.wanted_version(ModelRef("m", "x")),
-        "e" in beliefs.owners and beliefs.owners["e"].number,
+        cluster.deployment and cluster.deployment.version,
+        cluster.wanted_version(ModelRef("m", "x")),
+        "e" in cluster.owners and cluster.owners["e"].number,
     ]
     assert [value for value in found if value] == [5], found
 
 
 @given("a listed endpoint")
 def listed(context):
-    context.beliefs = Beliefs()
-    context.beliefs.take(EndpointNamed(record("e1")), NOW_S)
+    context.cluster = Beliefs()
+    context.cluster.take(EndpointNamed(record("e1")), NOW_S)
 
 
 @when("its entry goes {when}")
@@ -148,12 +148,12 @@
     outage = StoreOutage(3.0)
     if when != "while the store is well":
         outage.failed(NOW_S - float(when.split()[0]))
-    context.beliefs.fleet.unlisted("e1", NOW_S, outage.lapsed_until_s)
+    context.cluster.fleet.unlisted("e1", NOW_S, outage.lapsed_until_s)
 
 
 @then("it is used for {seconds:g} s")
 def used_for(context, seconds):
-    fleet = context.beliefs.fleet
+    fleet = context.cluster.fleet
     last_s = NOW_S + seconds
     assert bool(fleet.of_service("llm", last_s - 0.01)) == (seconds > 0)
     assert not fleet.of_service("llm", last_s)
--- a/features/serving/steps/kept_view_steps.py
+++ b/features/serving/steps/kept_view_steps.py
@@ -52,15 +52,15 @@
 
 
 def hub_of(daemons, engines):
-    beliefs = Beliefs(deployment=DEPLOYMENT)
+    cluster = Beliefs(deployment=DEPLOYMENT)
     for n in range(daemons):
-        beliefs.take(DaemonNamed(DaemonRecord(f"h{n}", 5, "a", "d0")), -100.0)
+        cluster.take(DaemonNamed(DaemonRecord(f"h{n}", 5, "a", "d0")), -100.0)
     for n in range(engines):
-        beliefs.take(EndpointNamed(record(f"e{n}")), -100.0)
-        beliefs.take(OwnerNamed(f"e{n}", OwnerRecord(f"h{n}", 5, 10)), -100.0)
+        cluster.take(EndpointNamed(record(f"e{n}")), -100.0)
+        cluster.take(OwnerNamed(f"e{n}", OwnerRecord(f"h{n}", 5, 10)), -100.0)
     return SimpleNamespace(
         identity=SimpleNamespace(name="h0", data_centre="d0"),
-        beliefs=beliefs,
+        cluster=cluster,
         paths=EndpointPaths(),
         lease_s=3.0,
         lease_revision=5,
@@ -145,7 +145,7 @@
         FLEET_CHANGES[change](context.fleet)
         return
     for belief in CHANGES[change]:
-        context.hub.beliefs.take(belief, -90.0)
+        context.hub.cluster.take(belief, -90.0)
 
 
 @then("e0 goes by the scales {scales}")
@@ -210,7 +210,7 @@
     async def story():
         owner = Passes(
             context.hub,
-            context.hub.beliefs.fleet.endpoints["e0"],
+            context.hub.cluster.fleet.endpoints["e0"],
             LIMITS,
             OwnerRecord("h0", 5, 10),
             send,
--- a/features/serving/steps/late_news_steps.py
+++ b/features/serving/steps/late_news_steps.py
@@ -24,24 +24,24 @@
 
 
 def believed():
-    beliefs = Beliefs()
+    cluster = Beliefs()
     for record in RECORDS:
-        beliefs.take(DaemonNamed(record), 0.0)
-    return beliefs
+        cluster.take(DaemonNamed(record), 0.0)
+    return cluster
 
 
 class Story:
     """Four relays and a hearer of one of them, in data centres of twenty."""
 
     def __init__(self, tasks):
-        beliefs = believed()
-        self.relays = beliefs.relays["d1"]
+        cluster = believed()
+        self.relays = cluster.relays["d1"]
         self.hearer = next(
             record.name
             for record in RECORDS
-            if beliefs.relays_heard(record.name, "d1")[:1] == self.relays[:1]
+            if cluster.relays_heard(record.name, "d1")[:1] == self.relays[:1]
         )
-        played = {*self.relays, *beliefs.relays["d0"], self.hearer}
+        played = {*self.relays, *cluster.relays["d0"], self.hearer}
         self.pool = RelayPool(tasks, RECORDS, played)
         self.pool.store.list_endpoint("e1")
 
--- a/features/serving/steps/pool_size_steps.py
+++ b/features/serving/steps/pool_size_steps.py
@@ -31,28 +31,28 @@
 
 @given("{before:d} daemons were listed {ago:g} s ago, and {daemons:d} still are")
 def daemons_listed(context, before, ago, daemons):
-    context.beliefs, context.ago_s = Beliefs(), ago
+    context.cluster, context.ago_s = Beliefs(), ago
     for n in range(max(before, daemons)):
         record = DaemonRecord(f"h{n}", 1, "a", f"d{n % 2}" if daemons > 1 else "d0")
-        context.beliefs.take(DaemonNamed(record), NOW_S - ago)
+        context.cluster.take(DaemonNamed(record), NOW_S - ago)
     for n in range(daemons, before):
-        context.beliefs.take(DaemonGone(f"h{n}"), NOW_S - ago)
+        context.cluster.take(DaemonGone(f"h{n}"), NOW_S - ago)
 
 
 @when("the store lists {endpoints:d} endpoints")
 def endpoints_listed(context, endpoints):
     # The relays were asked for before, and are kept until something changes them.
-    assert context.beliefs.relays is not None
+    assert context.cluster.relays is not None
     for n in range(endpoints):
         record = EndpointRecord(f"e{n}", "llm", "a", "d0", 8, False)
-        context.beliefs.take(EndpointNamed(record), NOW_S)
-    context.beliefs.note_time(NOW_S)
+        context.cluster.take(EndpointNamed(record), NOW_S)
+    context.cluster.note_time(NOW_S)
 
 
 @then("the pool counts as {size}, and {count:d} of d0 are relays")
 def pool_counts_as(context, size, count):
-    assert context.beliefs.is_small_pool == (size == "small")
-    found = context.beliefs.relays.get("d0", [])
+    assert context.cluster.is_small_pool == (size == "small")
+    found = context.cluster.relays.get("d0", [])
     assert len(found) == count, found
 
 
@@ -64,7 +64,7 @@
     )
     hub = SimpleNamespace(
         identity=SimpleNamespace(name="h0", data_centre="d0"),
-        beliefs=context.beliefs,
+        cluster=context.cluster,
         dialects=dialects,
         log=context.log,
         steady_s=lambda: NOW_S,
@@ -75,7 +75,7 @@
         follower._revision, follower._small = 7, False
         # By the event loop's clock, 17 daemons were listed that long ago.
         shift_s = anyio.current_time() - NOW_S
-        context.beliefs._large_until_s += shift_s
+        context.cluster._large_until_s += shift_s
         with anyio.move_on_after(0.05):
             await follower.run()
 
@@ -84,24 +84,24 @@
 
 @then("it takes the pool to be small, and logs that")
 def logs_small(context):
-    assert context.beliefs.is_small_pool
+    assert context.cluster.is_small_pool
     assert [kind for kind, _ in context.log.lines] == ["pool.changed"]
     assert context.log.lines[0][1]["small"]
 
 
 @given("{daemons:d} daemons and {endpoints:d} endpoints listed at a daemon's start")
 def listed_at_start(context, daemons, endpoints):
-    context.beliefs = Beliefs()
-    context.beliefs.note_time(NOW_S)
+    context.cluster = Beliefs()
+    context.cluster.note_time(NOW_S)
     for n in range(daemons):
         record = DaemonRecord(f"h{n}", 1, "a", "d0")
-        context.beliefs.take(DaemonNamed(record), NOW_S)
+        context.cluster.take(DaemonNamed(record), NOW_S)
     for n in range(endpoints):
         record = EndpointRecord(f"e{n}", "llm", "a", "d0", 8, False)
-        context.beliefs.take(EndpointNamed(record), NOW_S)
+        context.cluster.take(EndpointNamed(record), NOW_S)
 
 
 @then("{seconds:g} s after its start the pool counts as {size}")
 def counts_after_start(context, seconds, size):
-    context.beliefs.note_time(NOW_S + seconds)
-    assert context.beliefs.is_small_pool == (size == "small")
+    context.cluster.note_time(NOW_S + seconds)
+    assert context.cluster.is_small_pool == (size == "small")
--- a/features/serving/steps/relay_steps.py
+++ b/features/serving/steps/relay_steps.py
@@ -57,18 +57,18 @@
 
 
 def pool(daemons):
-    beliefs = Beliefs()
+    cluster = Beliefs()
     for n in range(daemons):
         named = DaemonRecord(f"h{n}", 1, "a", f"d{n % 2}")
-        beliefs.take(DaemonNamed(named), NOW_S)
-    beliefs.take(EndpointNamed(record()), NOW_S)
-    return beliefs
+        cluster.take(DaemonNamed(named), NOW_S)
+    cluster.take(EndpointNamed(record()), NOW_S)
+    return cluster
 
 
-def hub_of(beliefs, name):
+def hub_of(cluster, name):
     return SimpleNamespace(
         identity=SimpleNamespace(name=name, data_centre="d1"),
-        beliefs=beliefs,
+        cluster=cluster,
         log=Log(),
         store_age=StoreAge(),
         outage=StoreOutage(3.0),
@@ -78,21 +78,21 @@
 
 def own_hearers(context):
     return hearers(
-        context.beliefs.daemons.values(), "d1", context.relay, context.relays
+        context.cluster.daemons.values(), "d1", context.relay, context.relays
     )
 
 
 @given("a pool of {daemons:d} daemons in 2 data centres, and a relay of d1")
 def pool_with_relay(context, daemons):
-    context.beliefs = pool(daemons)
-    context.relays = context.beliefs.relays["d1"]
+    context.cluster = pool(daemons)
+    context.relays = context.cluster.relays["d1"]
     context.relay = context.relays[0]
     context.sent = {}
 
     async def send(daemon, message):
         context.sent.setdefault(daemon, []).append(message)
 
-    context.relaying = Relaying(hub_of(context.beliefs, context.relay), send)
+    context.relaying = Relaying(hub_of(context.cluster, context.relay), send)
 
 
 async def tell(context, now_s, clear=True):
@@ -104,7 +104,7 @@
 async def owner_tells(context, message):
     """Have the relay believe an owner, and hand it on."""
     now_s = anyio.current_time()
-    fleet = context.beliefs.fleet
+    fleet = context.cluster.fleet
     take = fleet.take_told if isinstance(message, EngineTold) else fleet.take_changed
     assert take(message, now_s)
     context.relaying.engine_told(message)
@@ -164,7 +164,7 @@
     async def story():
         now_s = await settle(context)
         others = hearers(
-            context.beliefs.daemons.values(), "d1", context.relays[1], context.relays
+            context.cluster.daemons.values(), "d1", context.relays[1], context.relays
         )
         await context.relaying.asked(others[0], RelayAsked())
         await tell(context, now_s + 0.2)
@@ -214,7 +214,7 @@
 def hearer_takes(context):
     message = next(iter(context.sent.values()))[0]
     assert unpack_engines(message) == [changed(2)]
-    hub = hub_of(context.beliefs, "h1")
+    hub = hub_of(context.cluster, "h1")
     follower = StoreFollower(hub, None, None, lambda *changes: None)
     follower._revision = 7
     follower.heard(context.relay, message)
@@ -234,10 +234,10 @@
 
 @given("a pool of {daemons:d} daemons in 2 data centres, and a hearer in d1")
 def pool_with_hearer(context, daemons):
-    context.beliefs = pool(daemons)
-    context.relays = context.beliefs.relays["d1"]
+    context.cluster = pool(daemons)
+    context.relays = context.cluster.relays["d1"]
     context.relay = context.relays[0]
-    hub = hub_of(context.beliefs, own_hearers(context)[0])
+    hub = hub_of(context.cluster, own_hearers(context)[0])
     context.store = CountingStore()
     hub.dialects = SimpleNamespace(
         store=context.store, store_items=SimpleNamespace(prefix="")
--- a/features/serving/steps/restart_steps.py
+++ b/features/serving/steps/restart_steps.py
@@ -136,16 +136,16 @@
 
 @when("e1 falls out of the list and comes back")
 def falls_out(context):
-    beliefs = context.beliefs
-    beliefs.take(EndpointNamed(record(0)), NOW_S)
-    beliefs.take(OwnerNamed("e1", OwnerRecord("h1", 5, 10)), NOW_S)
-    beliefs.take(EndpointGone("e1"), NOW_S)
-    beliefs.take(EndpointNamed(record(0)), NOW_S)
+    cluster = context.cluster
+    cluster.take(EndpointNamed(record(0)), NOW_S)
+    cluster.take(OwnerNamed("e1", OwnerRecord("h1", 5, 10)), NOW_S)
+    cluster.take(EndpointGone("e1"), NOW_S)
+    cluster.take(EndpointNamed(record(0)), NOW_S)
 
 
 @then("h1 is believed to own it")
 def still_owned(context):
-    assert context.beliefs.fleet.endpoints["e1"].owner == "h1"
+    assert context.cluster.fleet.endpoints["e1"].owner == "h1"
 
 
 @given("a sound entry")
@@ -245,7 +245,7 @@
     context.lines = Lines()
     context.hub = SimpleNamespace(
         dialects=SimpleNamespace(store_items=PlatformItems(), own_keys=OwnKeys()),
-        beliefs=Beliefs(),
+        cluster=Beliefs(),
         measures=Measures(),
         log=context.lines,
         outage=StoreOutage(3.0),
@@ -266,7 +266,7 @@
 
 
 def names(context):
-    return [each.name for each in context.hub.beliefs.fleet.of_service("llm", 0.0)]
+    return [each.name for each in context.hub.cluster.fleet.of_service("llm", 0.0)]
 
 
 @when("the entry of a cannot be read, for {beats:d} heartbeats")
--- a/features/speeds/steps/learning_steps.py
+++ b/features/speeds/steps/learning_steps.py
@@ -175,7 +175,7 @@
         rates.saw_gap(endpoint, 0.05)
     log = SimpleNamespace(info=lambda kind, **fields: lines.append((kind, fields)))
     return SimpleNamespace(
-        beliefs=SimpleNamespace(fleet=fleet, is_small_pool=False),
+        cluster=SimpleNamespace(fleet=fleet, is_small_pool=False),
         rates=rates,
         log=log,
         lines=lines,
@@ -190,7 +190,7 @@
     async def send(daemon, message):
         sent.append((daemon, message))
 
-    endpoint = hub.beliefs.fleet.endpoints["e1"]
+    endpoint = hub.cluster.fleet.endpoints["e1"]
     running = RunningCalls(hub, send)
     for _ in range(4):
         running.observed.saw_first_event(endpoint.start, 1000, 0, s)
@@ -210,7 +210,7 @@
 )
 def streams_seen(context, s, gap, learn):
     context.hub = make_hub(learn == "yes")
-    endpoint = context.hub.beliefs.fleet.endpoints["e1"]
+    endpoint = context.hub.cluster.fleet.endpoints["e1"]
     context.keeper = EngineKeeper(EngineLimits(12, 10**6, 8, 1e5, 10.0))
     speeds = SpeedKeeping(context.hub, endpoint, context.keeper)
     sent = anyio.run(reported, context.hub, s, gap)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/attempt_records.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/attempt_records.py
@@ -110,7 +110,7 @@
         model, version = call.details.model, forecast.held_version
         if model is None or version is None:
             return None
-        for_s = self._hub.beliefs.superseded_for_s(model, version, self._hub.steady_s())
+        for_s = self._hub.cluster.superseded_for_s(model, version, self._hub.steady_s())
         return None if for_s is None else min(for_s, LONGEST_LOGGED_S)
 
     def first_event(self, call: Call, endpoint: Endpoint, forecast: Forecast) -> None:
@@ -155,7 +155,7 @@
 
     def unreachable(self, endpoint: Endpoint, error: NotSentError) -> None:
         """Log that no connection to an endpoint could be made."""
-        fleet = self._hub.beliefs.fleet
+        fleet = self._hub.cluster.fleet
         self._hub.log.info(
             "endpoint.unreachable",
             endpoint=endpoint.name,
--- a/packages/daemon/src/knapweedbridge_daemon/serving/believing.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/believing.py
@@ -146,7 +146,7 @@
                 if self._relays():
                     await self._listen(prefix)
                 else:
-                    small = self._hub.beliefs.is_small_pool
+                    small = self._hub.cluster.is_small_pool
                     await self._watch_once(prefix, WATCH_S if small else FAR_WATCH_S)
                 while self._gone:
                     await self._on_gone(self._gone.pop())
@@ -159,20 +159,20 @@
 
     def _note_pool(self) -> None:
         """Note whether all daemons hear all, which also changes by time alone."""
-        beliefs = self._hub.beliefs
-        beliefs.note_time(anyio.current_time())
-        if beliefs.is_small_pool != self._small:
-            self._small = beliefs.is_small_pool
+        cluster = self._hub.cluster
+        cluster.note_time(anyio.current_time())
+        if cluster.is_small_pool != self._small:
+            self._small = cluster.is_small_pool
             self._hub.log.info(
                 "pool.changed",
                 small=self._small,
-                daemons=len(beliefs.daemons),
-                endpoints=len(beliefs.fleet.endpoints),
+                daemons=len(cluster.daemons),
+                endpoints=len(cluster.fleet.endpoints),
             )
 
     def _relays(self) -> list[str]:
         identity = self._hub.identity
-        return self._hub.beliefs.relays_heard(identity.name, identity.data_centre)
+        return self._hub.cluster.relays_heard(identity.name, identity.data_centre)
 
     async def _listen(self, prefix: str) -> None:
         """Hear a relay; look at the store where its news may be too old.
@@ -229,7 +229,7 @@
             self._calls.answered(began_s)
             self._hand_on(since, items, began_s)
             if found.items:
-                small = self._hub.beliefs.is_small_pool
+                small = self._hub.cluster.is_small_pool
                 await anyio.sleep(JOIN_S if small else JOIN_FAR_S)
 
     def _age_s(self) -> float:
@@ -276,7 +276,7 @@
         if self._hub.synced:
             keys = self._hub.dialects.own_keys
             self._settled_s = anyio.current_time() + LISTED_AGAIN_S
-            daemons = self._hub.beliefs.daemons
+            daemons = self._hub.cluster.daemons
             self._missing = {keys.daemon(name) for name in daemons}
         self._era = era
 
@@ -294,7 +294,7 @@
         if changed:
             self._hub.beliefs_changed.tell()
             self._hub.engines_changed.tell()
-        if changed and self._hub.beliefs.fleet.has_losses:
+        if changed and self._hub.cluster.fleet.has_losses:
             self._hub.losses_changed.tell()
 
     def _note_listing(self, key: str, endpoint: str, now_s: float) -> None:
@@ -303,7 +303,7 @@
         Hearers need it only where the engine's owner tells nothing. Handed on each
         time, the entries of all engines took every daemon a tenth of its time.
         """
-        known = self._hub.beliefs.fleet.endpoints.get(endpoint)
+        known = self._hub.cluster.fleet.endpoints.get(endpoint)
         if known is not None and not known.is_heard(now_s):
             self._to_tell.add(key)
 
@@ -313,7 +313,7 @@
             "endpoint.unlisted",
             endpoint=endpoint,
             revision=revision,
-            in_use=endpoint in self._hub.beliefs.fleet.endpoints,
+            in_use=endpoint in self._hub.cluster.fleet.endpoints,
             outage_over_s=round(self._hub.outage.over_for_s(now_s), 3),
         )
 
@@ -331,7 +331,7 @@
                 hub.rates.accept_pauses(deployment.longest_pauses_s())
 
     def _is_leaving(self, endpoint: str) -> bool:
-        known = self._hub.beliefs.fleet.endpoints.get(endpoint)
+        known = self._hub.cluster.fleet.endpoints.get(endpoint)
         return known is not None and known.leaves
 
     def _take_one(self, item: StoreItem, known_s: float) -> bool:
@@ -348,8 +348,8 @@
             self._gone.append(belief.endpoint)
         now_s = anyio.current_time()
         if isinstance(belief, EndpointNamed) and now_s < self._settled_s:
-            belief = EndpointNamed(hub.beliefs.fleet.still_leaving(belief.record))
-        changed = hub.beliefs.take(belief, now_s, hub.outage.lapsed_until_s, known_s)
+            belief = EndpointNamed(hub.cluster.fleet.still_leaving(belief.record))
+        changed = hub.cluster.take(belief, now_s, hub.outage.lapsed_until_s, known_s)
         if isinstance(belief, EndpointGone):
             self._note_unlisted(belief.endpoint, item.revision, now_s)
         if isinstance(belief, EndpointNamed) and not changed:
--- a/packages/daemon/src/knapweedbridge_daemon/serving/blame_notifier.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/blame_notifier.py
@@ -48,7 +48,7 @@
 
     def keepers(self, mark: str) -> list[str]:
         """Return the hosts that publish a refusal, in the order in which they do."""
-        return refusal_keepers(mark, self._hub.beliefs.keepers)
+        return refusal_keepers(mark, self._hub.cluster.keepers)
 
     async def notify_losses(self, found: Mapping[str, LossFound], cause: str) -> None:
         """Notify other hosts of what endpoints were lost with, and log it."""
@@ -108,11 +108,11 @@
 
     def _hearers(self, marks: Iterable[str]) -> dict[str, list[str]]:
         """Return which other hosts receive what of some marks."""
-        own, beliefs = self._hub.identity.name, self._hub.beliefs
+        own, cluster = self._hub.identity.name, self._hub.cluster
         found: dict[str, list[str]] = defaultdict(list)
         for mark in marks:
-            small = beliefs.is_small_pool
-            for name in beliefs.daemons if small else self.keepers(mark):
+            small = cluster.is_small_pool
+            for name in cluster.daemons if small else self.keepers(mark):
                 found[name].append(mark)
         found.pop(own, None)
         return found
--- a/packages/daemon/src/knapweedbridge_daemon/serving/call_terms.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/call_terms.py
@@ -89,7 +89,7 @@
     def _known(
         self, request: ReceivedRequest, details: CallDetails
     ) -> CallTerms | Refusal:
-        deployment = self._hub.beliefs.deployment
+        deployment = self._hub.cluster.deployment
         if deployment is None:
             return Refusal(503, "no_configuration", START_AFTER_S)
         route = _route_of(deployment, request)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/callers_app.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/callers_app.py
@@ -61,7 +61,7 @@
 
     def limits(self) -> FaceLimits:
         """Return the bounds on what callers send."""
-        deployment = self._hub.beliefs.deployment
+        deployment = self._hub.cluster.deployment
         return deployment.limits if deployment else FaceLimits()
 
     def count_bad(self, error: BadRequestError) -> None:
@@ -122,7 +122,7 @@
         details: CallDetails,
     ) -> None:
         self._hub.measures.count("requests", refusal.reason)
-        deployment = self._hub.beliefs.deployment
+        deployment = self._hub.cluster.deployment
         self._hub.log.info(
             "request.refused",
             request=details.call_id,
--- a/packages/daemon/src/knapweedbridge_daemon/serving/endpoint_connector.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/endpoint_connector.py
@@ -274,7 +274,7 @@
         paths = self._hub.paths
         others = [
             each
-            for each in self._hub.beliefs.fleet.engines()
+            for each in self._hub.cluster.fleet.engines()
             if not paths.is_cut(each.record.address)
         ]
         some = random.sample(others, min(OTHERS_TRIED, len(others)))
--- a/packages/daemon/src/knapweedbridge_daemon/serving/engine_owners.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/engine_owners.py
@@ -76,13 +76,13 @@
         return record.incarnation == identity.incarnation and same_lease
 
     def _drop_lost(self) -> None:
-        beliefs = self._hub.beliefs
+        cluster = self._hub.cluster
         for name, owner in list(self._owned.items()):
-            record = beliefs.owners.get(name)
+            record = cluster.owners.get(name)
             same = self._is_ours(record) and record and record.number == owner.number
             # An engine that has started again is another `Endpoint`, and needs a new
             # keeper: the one of before counts orders and adapters that are gone.
-            known = beliefs.fleet.endpoints.get(name) is owner.endpoint
+            known = cluster.fleet.endpoints.get(name) is owner.endpoint
             if same and known and not self._hub.draining:
                 continue
             owner.scope.cancel()
@@ -92,8 +92,8 @@
     def _take_new(self, tasks: TaskGroup) -> None:
         if self._hub.draining:
             return
-        for name, record in self._hub.beliefs.owners.items():
-            endpoint = self._hub.beliefs.fleet.endpoints.get(name)
+        for name, record in self._hub.cluster.owners.items():
+            endpoint = self._hub.cluster.fleet.endpoints.get(name)
             if name in self._owned or endpoint is None or not self._is_ours(record):
                 continue
             if record.number < self._given_up.get(name, 0):
--- a/packages/daemon/src/knapweedbridge_daemon/serving/engine_owning.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/engine_owning.py
@@ -126,7 +126,7 @@
         """Take a daemon's wish for an adapter, which is answered at once."""
         self._askers.add(daemon)
         self._teller.wanted_by(daemon, model)
-        small = self._hub.beliefs.is_small_pool
+        small = self._hub.cluster.is_small_pool
         if self.keeper.holds(model, version) and not small:
             # It has not heard of it yet, and no order will tell it. In a small pool
             # each change is told to all at once.
@@ -156,7 +156,7 @@
         if self.keeper.wants:
             self._work.set()
         else:
-            small = self._hub.beliefs.is_small_pool
+            small = self._hub.cluster.is_small_pool
             self._work.set_by(self._teller.due_s(small) + TIMER_S)
 
     def forget_daemon(self, daemon: str) -> None:
@@ -199,7 +199,7 @@
         hub, name = self._hub, self.endpoint.name
         lost = [
             each
-            for each in hub.beliefs.silent_predecessors(
+            for each in hub.cluster.silent_predecessors(
                 name, anyio.current_time(), hub.lease_s
             )
             if each.record.owner != hub.identity.name
@@ -230,7 +230,7 @@
 
     def _pause_s(self, now_s: float) -> float:
         """Return when to look again at what is due by time alone, in seconds."""
-        small = self._hub.beliefs.is_small_pool
+        small = self._hub.cluster.is_small_pool
         pause_s = WORK_S if small else TELL_STILL_S
         if self.keeper.needs_report:
             pause_s = REPORT_PAUSE_S
@@ -292,7 +292,7 @@
         start = EndpointStart(self.endpoint.name, report.started_ms)
         if start.may_be(self.endpoint.start):
             return False
-        if self._hub.beliefs.fleet.restarted(start, anyio.current_time()):
+        if self._hub.cluster.fleet.restarted(start, anyio.current_time()):
             self._hub.beliefs_changed.tell()
         return True
 
@@ -350,7 +350,7 @@
 
     def _count_others(self) -> None:
         now_s = anyio.current_time()
-        fleet = self._hub.beliefs.fleet
+        fleet = self._hub.cluster.fleet
         engines = fleet.of_service(self.endpoint.record.service, now_s)
         self.keeper.engines = len(engines)
         self.keeper.coming_elsewhere = sum(
@@ -365,10 +365,10 @@
 
     async def _tell(self) -> None:
         askers, self._askers = self._askers, set()
-        beliefs, now_s = self._hub.beliefs, anyio.current_time()
-        hearers = chain.from_iterable(beliefs.relays.values())
-        small = beliefs.is_small_pool
-        told_to = list(beliefs.daemons if small else hearers)
+        cluster, now_s = self._hub.cluster, anyio.current_time()
+        hearers = chain.from_iterable(cluster.relays.values())
+        small = cluster.is_small_pool
+        told_to = list(cluster.daemons if small else hearers)
         for telling in self._teller.tell(told_to, small, now_s):
             askers.discard(telling.daemon)
             await self._send(telling.daemon, telling.message)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/engine_speeds.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/engine_speeds.py
@@ -28,7 +28,7 @@
         self._hub = hub
         self._endpoint = endpoint
         self._speed = keeper.speed
-        self._learns = hub.beliefs.fleet.speeds.enabled
+        self._learns = hub.cluster.fleet.speeds.enabled
         if self._learns and endpoint.published_speed:
             self._speed.begin_at(endpoint.published_speed)
         service = endpoint.record.service
--- a/packages/daemon/src/knapweedbridge_daemon/serving/forwarding.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/forwarding.py
@@ -68,7 +68,7 @@
 
     def _refusal(self, asked: TunnelAsked) -> str:
         hub = self._hub
-        endpoint = hub.beliefs.fleet.endpoints.get(asked.endpoint)
+        endpoint = hub.cluster.fleet.endpoints.get(asked.endpoint)
         if hub.draining:
             return "draining"
         if hub.paths.has_lost_links:
@@ -114,7 +114,7 @@
 
         A host without traffic has had no answer of late; it tries another endpoint.
         """
-        paths, fleet = self._hub.paths, self._hub.beliefs.fleet
+        paths, fleet = self._hub.paths, self._hub.cluster.fleet
         if not paths.is_linked(loop_time_s()):
             others = [
                 each.record.address
--- a/packages/daemon/src/knapweedbridge_daemon/serving/host.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/host.py
@@ -135,8 +135,8 @@
             overload=OVERLOAD_POLICIES[get("admission", "overdue_calls")](),
             memory=MemoryBudget(round(get("limits", "held_mb") * 1_000_000)),
         )
-        hub.beliefs.older_version_s = get("engines", "older_version_ms") / 1000
-        hub.beliefs.fleet.speeds.enabled = get("engines", "learn_speeds") == "yes"
+        hub.cluster.older_version_s = get("engines", "older_version_ms") / 1000
+        hub.cluster.fleet.speeds.enabled = get("engines", "learn_speeds") == "yes"
         return hub
 
     async def _serve(self, hub: Hub) -> None:
--- a/packages/daemon/src/knapweedbridge_daemon/serving/hub.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/hub.py
@@ -121,7 +121,7 @@
     measures: Measures
     pool: ConnectionPool = field(default_factory=ConnectionPool)
     paths: EndpointPaths = field(default_factory=EndpointPaths)
-    beliefs: Beliefs = field(default_factory=Beliefs)
+    cluster: Beliefs = field(default_factory=Beliefs)
     crashes: CrashLedger = field(default_factory=CrashLedger)
     lease: LeaseClock = field(default_factory=LeaseClock)
     load_times: LoadTimes = field(default_factory=LoadTimes)
@@ -145,7 +145,7 @@
     patience: PatienceKeeper = field(init=False)
 
     def __post_init__(self) -> None:
-        self.patience = PatienceKeeper(self.beliefs, self.steady_s)
+        self.patience = PatienceKeeper(self.cluster, self.steady_s)
 
     def note_store_era(self, era: int) -> None:
         """Take the era of what the store said; a new one ends all that hung on it.
@@ -172,20 +172,20 @@
     @property
     def ready(self) -> bool:
         """Whether callers may be sent here."""
-        known = self.beliefs.deployment is not None and self.synced
+        known = self.cluster.deployment is not None and self.synced
         return known and not self.draining
 
     @property
     def daemons(self) -> int:
         """Daemons that are believed to serve, this one among them."""
-        return max(1, len(self.beliefs.daemons))
+        return max(1, len(self.cluster.daemons))
 
     def engine_limits(self, service: str) -> EngineLimits | None:
         """Return what engines of a service hold; None for a plain service."""
-        deployment = self.beliefs.deployment
+        deployment = self.cluster.deployment
         return deployment.engine_limits(service) if deployment else None
 
     def longest_pause_s(self, service: str) -> float | None:
         """Return the longest pause that a service's streams accept; None: any."""
-        deployment = self.beliefs.deployment
+        deployment = self.cluster.deployment
         return deployment.longest_pauses_s().get(service) if deployment else None
--- a/packages/daemon/src/knapweedbridge_daemon/serving/lapse_check.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/lapse_check.py
@@ -39,7 +39,7 @@
 
     async def run(self) -> None:
         """Look at the lapses that are about to end, until cancelled."""
-        fleet = self._hub.beliefs.fleet
+        fleet = self._hub.cluster.fleet
         while True:
             ends_s = fleet.lapse_ends_s(anyio.current_time())
             if ends_s is None:
@@ -55,7 +55,7 @@
             tasks.start_soon(self._hold)
             failures = await self._await_answer()
             tasks.cancel_scope.cancel()
-        fleet = self._hub.beliefs.fleet
+        fleet = self._hub.cluster.fleet
         over_s = max(ends_s, self._hub.outage.lapsed_until_s)
         fleet.end_lapses(over_s)
         fleet.prolong_lapses(over_s, anyio.current_time())
@@ -71,7 +71,7 @@
     async def _hold(self) -> None:
         while True:
             now_s = anyio.current_time()
-            self._hub.beliefs.fleet.prolong_lapses(now_s + HOLD_S, now_s)
+            self._hub.cluster.fleet.prolong_lapses(now_s + HOLD_S, now_s)
             await anyio.sleep(HOLD_EVERY_S)
 
     async def _await_answer(self) -> int:
--- a/packages/daemon/src/knapweedbridge_daemon/serving/lease_keeping.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/lease_keeping.py
@@ -132,7 +132,7 @@
 
     def _is_recorded(self) -> bool:
         identity = self._hub.identity
-        known = self._hub.beliefs.daemons.get(identity.name)
+        known = self._hub.cluster.daemons.get(identity.name)
         written = self._hub.lease_revision < sys.maxsize
         seen = known is not None and known.incarnation == identity.incarnation
         return written and (seen or not self._hub.synced)
@@ -190,7 +190,7 @@
 
     def _due(self) -> list[Endpoint]:
         hub, now_s = self._hub, anyio.current_time()
-        daemons = hub.beliefs.daemons
+        daemons = hub.cluster.daemons
         own = daemons.get(hub.identity.name)
         if own is None:
             # Those that are listed claim: a daemon that is not would come before none.
@@ -202,7 +202,7 @@
             if not self._is_free(endpoint, now_s):
                 continue
             record = endpoint.record
-            free_s = hub.beliefs.free_since_s.get(record.endpoint)
+            free_s = hub.cluster.free_since_s.get(record.endpoint)
             if free_s is None:
                 free_s = max(endpoint.first_listed_s, self._started_s + FIRST_CLAIM_S)
             free_for_s = now_s - free_s
@@ -217,15 +217,15 @@
         One that has given it up does not reach it, and others need not wait for its
         turn to pass.
         """
-        beliefs = self._hub.beliefs
-        without_links = beliefs.without_links
-        released = beliefs.owners.get(engine)
+        cluster = self._hub.cluster
+        without_links = cluster.without_links
+        released = cluster.owners.get(engine)
         if released is None and not without_links:
-            return beliefs.daemons.values()
+            return cluster.daemons.values()
         given_up_by = released.incarnation if released else None
         return [
             each
-            for each in beliefs.daemons.values()
+            for each in cluster.daemons.values()
             if each.name not in without_links and each.incarnation != given_up_by
         ]
 
@@ -234,26 +234,26 @@
 
         They are looked for anew only when owners, daemons or endpoints changed.
         """
-        beliefs = self._hub.beliefs
-        state = beliefs.owner_changes, beliefs.fleet.changes
+        cluster = self._hub.cluster
+        state = cluster.owner_changes, cluster.fleet.changes
         if state != self._candidates_of:
             self._candidates_of = state
             self._candidates = [
-                each for each in beliefs.fleet.engines() if self._may_be_free(each.name)
+                each for each in cluster.fleet.engines() if self._may_be_free(each.name)
             ]
         return self._candidates
 
     def _may_be_free(self, endpoint: str) -> bool:
-        record = self._hub.beliefs.owners.get(endpoint)
+        record = self._hub.cluster.owners.get(endpoint)
         is_own = record is not None and record.owner == self._hub.identity.name
-        return is_own or self._hub.beliefs.is_ownerless(endpoint)
+        return is_own or self._hub.cluster.is_ownerless(endpoint)
 
     def _is_free(self, endpoint: Endpoint, now_s: float) -> bool:
         if self._hub.engine_limits(endpoint.record.service) is None:
             return False
         if endpoint.leaves or not self._links.may_own(endpoint, now_s):
             return False
-        ownerless = self._hub.beliefs.is_ownerless(endpoint.name)
+        ownerless = self._hub.cluster.is_ownerless(endpoint.name)
         if not ownerless and not self._is_left_over(endpoint.name):
             return False
         return now_s - self._claimed_s.get(endpoint.name, -10.0) > 1.0
@@ -263,7 +263,7 @@
 
         Nobody else claims such an engine, as its owner is listed.
         """
-        record = self._hub.beliefs.owners.get(endpoint)
+        record = self._hub.cluster.owners.get(endpoint)
         if record is None or record.owner != self._hub.identity.name:
             return False
         return record.number < self._hub.lease_revision < sys.maxsize
@@ -272,7 +272,7 @@
         hub, now_s = self._hub, anyio.current_time()
         self._claimed_s[endpoint.name] = now_s
         key = hub.dialects.own_keys.owner(endpoint.name)
-        known = hub.beliefs.owners.get(endpoint.name)
+        known = hub.cluster.owners.get(endpoint.name)
         value = pack_owner(hub.identity.name, hub.identity.incarnation)
         transaction = Transaction(
             {key: known.number if known else 0}, {key: value}, lease=self._lease
@@ -298,7 +298,7 @@
         hub = self._hub
         owned = {
             endpoint: record
-            for endpoint, record in hub.beliefs.owners.items()
+            for endpoint, record in hub.cluster.owners.items()
             if record.owner == hub.identity.name
         }
         hub.lease.lost()
@@ -317,7 +317,7 @@
     async def make_secret(self) -> None:
         """Write the secret that daemons share, where there is none yet."""
         key = self._hub.dialects.own_keys.secret
-        while not self._hub.beliefs.secret:
+        while not self._hub.cluster.secret:
             if self._hub.synced:
                 value = secrets.token_bytes(SECRET_BYTES)
                 try:
--- a/packages/daemon/src/knapweedbridge_daemon/serving/loss_proof.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/loss_proof.py
@@ -9,7 +9,7 @@
     """Return what shows that an endpoint is gone; empty: nothing does."""
     record, pressure = endpoint.record, endpoint.pressure
     destination = Destination(record.address, endpoint.name)
-    deployment = hub.beliefs.deployment
+    deployment = hub.cluster.deployment
     service = deployment.services.get(record.service) if deployment else None
     if service is None or pressure.is_limited or pressure.is_brittle:
         # A question would take the room of a call.
--- a/packages/daemon/src/knapweedbridge_daemon/serving/lost_links.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/lost_links.py
@@ -77,8 +77,8 @@
         hub = self._hub
         if not len(hub.paths) or self._stop_owning is None:
             return
-        for name, record in list(hub.beliefs.owners.items()):
-            endpoint = hub.beliefs.fleet.endpoints.get(name)
+        for name, record in list(hub.cluster.owners.items()):
+            endpoint = hub.cluster.fleet.endpoints.get(name)
             if record.owner != hub.identity.name or endpoint is None:
                 continue
             if hub.paths.is_confirmed(endpoint.record.address):
@@ -96,6 +96,6 @@
         self._hub.log.info("owner.unreached", engine=engine, number=record.number)
 
     def _forget_gone(self) -> None:
-        listed = self._hub.beliefs.fleet.endpoints
+        listed = self._hub.cluster.fleet.endpoints
         for engine in self._released_s.keys() - listed.keys():
             del self._released_s[engine]
--- a/packages/daemon/src/knapweedbridge_daemon/serving/patience.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/patience.py
@@ -62,7 +62,7 @@
 
     Parameters
     ----------
-    beliefs : Beliefs
+    cluster : Beliefs
         The versions that were named.
     steady_s : callable
         The clock of those.
@@ -70,8 +70,8 @@
 
     __slots__ = ("_beliefs", "_steady_s", "_waiting")
 
-    def __init__(self, beliefs: Beliefs, steady_s: Callable[[], float]) -> None:
-        self._beliefs = beliefs
+    def __init__(self, cluster: Beliefs, steady_s: Callable[[], float]) -> None:
+        self._beliefs = cluster
         self._steady_s = steady_s
         self._waiting: dict[ModelRef, set[Patience]] = defaultdict(set)
 
--- a/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
@@ -103,19 +103,19 @@
         """
         if daemon == self._hub.identity.name:
             await self._take(daemon, message)
-        elif not understands(self._hub.beliefs.protocol_of(daemon), message):
+        elif not understands(self._hub.cluster.protocol_of(daemon), message):
             self._hub.measures.count("messages_withheld")
         elif self._peers is not None:
             self._peers.send(daemon, message)
 
     async def run(self, tasks: TaskGroup, address: tuple[str, int]) -> None:
         """Link with the daemons that are listed until cancelled."""
-        while not self._hub.beliefs.secret:
+        while not self._hub.cluster.secret:
             await self._hub.beliefs_changed.wait(1.0)
         identity = self._hub.identity
         self._peers = Peers(
             identity.name,
-            self._hub.beliefs.secret,
+            self._hub.cluster.secret,
             SILENCE_S,
             self._submit,
             identity.incarnation,
@@ -128,7 +128,7 @@
         while True:
             others = {
                 name: record
-                for name, record in self._hub.beliefs.daemons.items()
+                for name, record in self._hub.cluster.daemons.items()
                 if name != identity.name
             }
             self._peers.know(
@@ -187,9 +187,9 @@
         """Take all that is told of an engine; False where that is outdated."""
         self._hub.load_times.told(message.cold_s)
         self._hub.load_times.trial_held(message.loads_at_once)
-        known = self._hub.beliefs.fleet.endpoints.get(message.endpoint)
+        known = self._hub.cluster.fleet.endpoints.get(message.endpoint)
         before = known.told_number if known else 0
-        endpoint = self._hub.beliefs.fleet.take_told(message, now_s)
+        endpoint = self._hub.cluster.fleet.take_told(message, now_s)
         if endpoint is None:
             return False
         self._hub.engines_changed.tell()
@@ -199,7 +199,7 @@
         return True
 
     async def _take_changed(self, message: EngineChanged) -> None:
-        fleet = self._hub.beliefs.fleet
+        fleet = self._hub.cluster.fleet
         if self._take_change(message, anyio.current_time()):
             self.relaying.engine_told(message)
         elif fleet.has_missed(message):
@@ -209,7 +209,7 @@
 
     def _take_change(self, message: EngineChanged, now_s: float) -> bool:
         """Take a change; False where it is outdated or one before it was missed."""
-        fleet = self._hub.beliefs.fleet
+        fleet = self._hub.cluster.fleet
         endpoint = fleet.endpoints.get(message.endpoint)
         before = endpoint and (endpoint.places_free, endpoint.wants)
         if not fleet.take_changed(message, now_s):
@@ -236,7 +236,7 @@
             if isinstance(row, EngineTold):
                 self._take_told(row, now_s)
             elif not self._take_change(row, now_s):
-                missed = missed or self._hub.beliefs.fleet.has_missed(row)
+                missed = missed or self._hub.cluster.fleet.has_missed(row)
         if missed:
             await self.ask_relay(relay)
 
@@ -268,6 +268,6 @@
             await self.send(owner, EngineAsked(endpoint.name))
 
     async def _take_answered(self, daemon: str, message: OwnerAnswered) -> None:
-        endpoint = self._hub.beliefs.fleet.endpoints.get(message.endpoint)
+        endpoint = self._hub.cluster.fleet.endpoints.get(message.endpoint)
         if endpoint is not None:
             endpoint.asked_s = None
--- a/packages/daemon/src/knapweedbridge_daemon/serving/permits.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/permits.py
@@ -99,7 +99,7 @@
         ticket = next(self._tickets)
         asked = RoomAsked(endpoint.name, endpoint.record.started_ms, per_s, ticket)
         keeper = self._keeper(endpoint)
-        if keeper and not understands(self._hub.beliefs.protocol_of(keeper), asked):
+        if keeper and not understands(self._hub.cluster.protocol_of(keeper), asked):
             return True
         return await self._is_permitted(endpoint, ticket, asked)
 
@@ -132,7 +132,7 @@
         return question.wait_s
 
     def _keeper(self, endpoint: Endpoint) -> str | None:
-        candidates = self._hub.beliefs.quota_keepers
+        candidates = self._hub.cluster.quota_keepers
         return permit_keeper(endpoint.name, endpoint.record.data_centre, candidates)
 
     @staticmethod
@@ -182,7 +182,7 @@
     def _endpoint_of(
         self, message: LimitHeard | LimitTold | PermitAsked | RoomAsked | TurnedAway
     ) -> Endpoint | None:
-        endpoint = self._hub.beliefs.fleet.endpoints.get(message.endpoint)
+        endpoint = self._hub.cluster.fleet.endpoints.get(message.endpoint)
         start = EndpointStart(message.endpoint, message.started_ms)
         return endpoint if endpoint and endpoint.start.may_be(start) else None
 
@@ -257,7 +257,7 @@
 
     def _forget_others(self) -> None:
         """Drop the pacers of endpoints that are gone or have another keeper."""
-        fleet = self._hub.beliefs.fleet
+        fleet = self._hub.cluster.fleet
         for name in {*self._pacers, *self._rooms}:
             endpoint = fleet.endpoints.get(name)
             if endpoint is None or self._keeper(endpoint) != self._hub.identity.name:
@@ -268,14 +268,14 @@
         self, endpoint: Endpoint, pacer: PermitPacer, now_s: float
     ) -> None:
         """Tell all daemons of a limit, through the relays in a large pool."""
-        beliefs = self._hub.beliefs
+        cluster = self._hub.cluster
         told = LimitTold(
             endpoint.name,
             endpoint.record.started_ms,
             pacer.limit_per_s,
             pacer.heard_age_s(now_s),
         )
-        small = beliefs.is_small_pool
-        names = beliefs.daemons if small else chain(*beliefs.relays.values())
+        small = cluster.is_small_pool
+        names = cluster.daemons if small else chain(*cluster.relays.values())
         for name in {*names, self._hub.identity.name}:
             await self._send(name, told)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/placing.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/placing.py
@@ -108,7 +108,7 @@
         """Return whether no endpoint is left that a begun stream may go on at."""
         if call.software is None:
             return False
-        fleet, now_s = self._hub.beliefs.fleet, anyio.current_time()
+        fleet, now_s = self._hub.cluster.fleet, anyio.current_time()
         return not any(map(call.may_go_to, fleet.of_service(call.service, now_s)))
 
     async def _place_on_engine(
@@ -190,7 +190,7 @@
         self, call: Call, until_s: float, now_s: float
     ) -> Refusal | None:
         """Refuse a call whose endpoints all ask for a pause that lasts too long."""
-        opens_s = self._hub.beliefs.fleet.opens_s(call.service, now_s)
+        opens_s = self._hub.cluster.fleet.opens_s(call.service, now_s)
         if opens_s is None or opens_s <= until_s:
             return None
         self._hub.log.info(
@@ -204,7 +204,7 @@
 
     def _is_unknown(self, engine: Endpoint, now_s: float) -> bool:
         """Tell whether this daemon hears too little of an engine to send there."""
-        if self._hub.beliefs.is_small_pool:
+        if self._hub.cluster.is_small_pool:
             return False
         return engine.owner != "" and now_s - engine.heard_s > UNKNOWN_AFTER_S
 
@@ -219,7 +219,7 @@
     def _choose(
         self, call: Call, model: ModelRef, case: PendingRequest, now_s: float
     ) -> Choice:
-        beliefs, policy = self._hub.beliefs, self._hub.overload
+        cluster, policy = self._hub.cluster, self._hub.overload
         ask = PlacementAsk(
             model,
             self._versions_now(model),
@@ -228,10 +228,10 @@
             call.details.prompt_tokens,
             policy.patience_s(case, call.accepted, now_s),
         )
-        able = filter(call.may_go_to, beliefs.fleet.reachable(call.service, now_s))
+        able = filter(call.may_go_to, cluster.fleet.reachable(call.service, now_s))
         engines = without_limited(list(able), model)
-        beliefs.fleet.guess_load(
-            engines, self._hub.daemons, beliefs.is_small_pool, now_s
+        cluster.fleet.guess_load(
+            engines, self._hub.daemons, cluster.is_small_pool, now_s
         )
         engines = policy.engines_for(case, engines, now_s)
         objective_s = 0.0 if call.has_begun else call.route.objective_s
@@ -242,12 +242,12 @@
     def _versions_now(self, model: ModelRef) -> VersionsNow | None:
         if not model.adapter:
             return None
-        return self._hub.beliefs.versions_now(model, self._hub.steady_s())
+        return self._hub.cluster.versions_now(model, self._hub.steady_s())
 
     async def _want(self, call: Call, endpoint: Endpoint) -> None:
         model = call.details.model
         assert model is not None
-        version = self._hub.beliefs.wanted_version(model) or 0
+        version = self._hub.cluster.wanted_version(model) or 0
         self._hub.log.info(
             "adapter.wanted",
             request=call.details.call_id,
@@ -269,7 +269,7 @@
             endpoint = await self._choose_plain(call, now_s)
             if endpoint is not None:
                 return Target(endpoint, None)
-            opens_s = self._hub.beliefs.fleet.opens_s(call.service, now_s)
+            opens_s = self._hub.cluster.fleet.opens_s(call.service, now_s)
             if opens_s is None:
                 return Refusal(503, "no_endpoint", NO_ENDPOINT_AFTER_S)
             refusal = self._closed_beyond(call, until_s, now_s)
@@ -283,7 +283,7 @@
             frozenset(call.progress.runs | call.refused),
             call.route.objective_s,
         )
-        fleet = self._hub.beliefs.fleet
+        fleet = self._hub.cluster.fleet
         # One that is backed off from is better than none.
         able = fleet.reachable(call.service, now_s)
         able = able or fleet.open_to(call.service, now_s)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/plain_asking.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/plain_asking.py
@@ -64,7 +64,7 @@
 
     def understands(self, daemon: str) -> bool:
         """Tell whether a daemon is known to be of a version that counts."""
-        record = self._hub.beliefs.daemons.get(daemon)
+        record = self._hub.cluster.daemons.get(daemon)
         known = self._understanding.get(daemon)
         return record is not None and known == record.incarnation
 
@@ -127,7 +127,7 @@
         """Take an answer; False where a message is none."""
         if not isinstance(message, PlainAnswered):
             return False
-        record = self._hub.beliefs.daemons.get(daemon)
+        record = self._hub.cluster.daemons.get(daemon)
         if message.ticket == NO_TICKET:
             if record is not None:
                 self._forget_missing()
@@ -141,7 +141,7 @@
 
     def _forget_missing(self) -> None:
         for known in (self._understanding, self._asked_not_before_s):
-            for name in known.keys() - self._hub.beliefs.daemons.keys():
+            for name in known.keys() - self._hub.cluster.daemons.keys():
                 del known[name]
 
     def _take_answer(self, question: Question, message: PlainAnswered) -> None:
--- a/packages/daemon/src/knapweedbridge_daemon/serving/plain_counters.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/plain_counters.py
@@ -19,7 +19,7 @@
 
 def counting_daemon(hub: Hub, endpoint: Endpoint) -> str | None:
     """Name the daemon that counts an endpoint's requests; None where none is known."""
-    candidates = hub.beliefs.quota_keepers
+    candidates = hub.cluster.quota_keepers
     return permit_keeper(endpoint.name, endpoint.record.data_centre, candidates)
 
 
@@ -50,7 +50,7 @@
 
     def _endpoint_of(self, message: PlainAsked | PlainRunning) -> Endpoint | None:
         """Return the endpoint of a message; None where another daemon counts there."""
-        endpoint = self._hub.beliefs.fleet.endpoints.get(message.endpoint)
+        endpoint = self._hub.cluster.fleet.endpoints.get(message.endpoint)
         start = EndpointStart(message.endpoint, message.started_ms)
         if endpoint is None or not endpoint.start.may_be(start):
             return None
@@ -79,12 +79,12 @@
             self._forget_others()
             counter = PlainCounter(endpoint.record.slots)
             self._counters[endpoint.start] = counter
-        counter.forget_missing(self._hub.beliefs.daemons)
+        counter.forget_missing(self._hub.cluster.daemons)
         return counter
 
     def _forget_others(self) -> None:
         """Drop the counters of endpoints that are gone or fall to another daemon."""
-        fleet, own_name = self._hub.beliefs.fleet, self._hub.identity.name
+        fleet, own_name = self._hub.cluster.fleet, self._hub.identity.name
         for start in list(self._counters):
             endpoint = fleet.endpoints.get(start.endpoint)
             if (
--- a/packages/daemon/src/knapweedbridge_daemon/serving/plain_counting.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/plain_counting.py
@@ -66,7 +66,7 @@
             Id of the request, for the log.
         """
         first = choose_plain(ask, endpoints, anyio.current_time())
-        if first is None or self._hub.beliefs.is_small_pool:
+        if first is None or self._hub.cluster.is_small_pool:
             return first
         self._calls[first.start] += 1
         chosen = None
--- a/packages/daemon/src/knapweedbridge_daemon/serving/quota_parts.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/quota_parts.py
@@ -51,13 +51,13 @@
 
     def refresh(self) -> None:
         """Begin to keep the parts that have fallen to this daemon, and end others."""
-        beliefs = self._hub.beliefs
-        seen = beliefs.ranks, beliefs.deployment
+        cluster = self._hub.cluster
+        seen = cluster.ranks, cluster.deployment
         if seen[0] is self._seen[0] and seen[1] is self._seen[1]:
             return
         had_deployment, before = self._seen[1] is not None, self._splits
         self._seen = seen
-        accounts = beliefs.deployment.accounts if beliefs.deployment else None
+        accounts = cluster.deployment.accounts if cluster.deployment else None
         self._splits = {
             each.name: self._split(each.name, each.quota)
             for each in accounts or ()
@@ -78,11 +78,11 @@
             del self._buckets[account]
 
     def _split(self, account: str, quota: Quota) -> SplitQuota:
-        beliefs, identity = self._hub.beliefs, self._hub.identity
-        candidates = beliefs.quota_keepers
+        cluster, identity = self._hub.cluster, self._hub.identity
+        candidates = cluster.quota_keepers
         part = split(quota, self._hub.tolerance, sum(map(len, candidates.values())))
         found = keepers(account, part.parts, candidates)
-        places = {name: beliefs.daemons[name].data_centre for name in found}
+        places = {name: cluster.daemons[name].data_centre for name in found}
         ordered = nearest_first(identity.name, identity.data_centre, found, places)
         return SplitQuota(part, ordered)
 
--- a/packages/daemon/src/knapweedbridge_daemon/serving/refusal_records.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/refusal_records.py
@@ -72,7 +72,7 @@
 
     def _turn_s(self, mark: str) -> float | None:
         """Return how long this host leaves a write to others; None: it writes none."""
-        keepers = refusal_keepers(mark, self._hub.beliefs.keepers)
+        keepers = refusal_keepers(mark, self._hub.cluster.keepers)
         own = self._hub.identity.name
         return STEP_S * keepers.index(own) if own in keepers else None
 
--- a/packages/daemon/src/knapweedbridge_daemon/serving/relaying.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/relaying.py
@@ -77,8 +77,8 @@
     @property
     def is_relay(self) -> bool:
         """Whether this daemon is a relay of its data centre."""
-        identity, beliefs = self._hub.identity, self._hub.beliefs
-        return identity.name in beliefs.relays.get(identity.data_centre, ())
+        identity, cluster = self._hub.identity, self._hub.cluster
+        return identity.name in cluster.relays.get(identity.data_centre, ())
 
     def engine_told(self, message: EngineTold | EngineChanged) -> None:
         """Take what an owner told this daemon itself, once it is believed here."""
@@ -170,7 +170,7 @@
             self._since, self._items = None, []
         self._marks.keep(self._told)
         missed_after, self._missed_after = self._missed_after, {}
-        all_relays = set(chain(*self._hub.beliefs.relays.values()))
+        all_relays = set(chain(*self._hub.cluster.relays.values()))
         for name in wanted:
             message = full if full and name in new else told
             if name in all_relays:
@@ -207,7 +207,7 @@
         """
         if not self.is_relay:
             return []
-        relays = set(chain(*self._hub.beliefs.relays.values()))
+        relays = set(chain(*self._hub.cluster.relays.values()))
         found = self._hearers(anyio.current_time())
         return [name for name in found if name not in relays]
 
@@ -225,17 +225,17 @@
 
         Two hashes a daemon of the data centre were made for each telling.
         """
-        identity, beliefs = self._hub.identity, self._hub.beliefs
-        if self._hearers_of is not beliefs.ranks:
-            self._hearers_of = beliefs.ranks
-            all_relays = beliefs.relays.get(identity.data_centre, [])
+        identity, cluster = self._hub.identity, self._hub.cluster
+        if self._hearers_of is not cluster.ranks:
+            self._hearers_of = cluster.ranks
+            all_relays = cluster.relays.get(identity.data_centre, [])
             self._own_hearers = hearers(
-                *(beliefs.daemons.values(), identity.data_centre, identity.name),
+                *(cluster.daemons.values(), identity.data_centre, identity.name),
                 all_relays,
             )
         return list(self._own_hearers)
 
     def _all_rows(self, now_s: float) -> list[EngineTold | EngineChanged]:
-        fleet = self._hub.beliefs.fleet
+        fleet = self._hub.cluster.fleet
         heard: list[Endpoint] = [e for e in fleet.engines() if e.is_heard(now_s)]
         return [fleet.tell_all(each, now_s) for each in heard]
--- a/packages/daemon/src/knapweedbridge_daemon/serving/running_calls.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/running_calls.py
@@ -126,7 +126,7 @@
         soon : bool
             Whether it is told at once in a large pool too.
         """
-        urgent = soon or self._hub.beliefs.is_small_pool
+        urgent = soon or self._hub.cluster.is_small_pool
         due_s = anyio.current_time() + (JOIN_S if urgent else JOIN_FAR_S)
         if due_s < self._due_s.get(start, math.inf):
             self._due_s[start] = due_s
@@ -159,7 +159,7 @@
 
     async def _tell_owner(self, start: EndpointStart) -> None:
         calls = +self._calls[start]
-        endpoint = self._hub.beliefs.fleet.endpoints.get(start.endpoint)
+        endpoint = self._hub.cluster.fleet.endpoints.get(start.endpoint)
         if endpoint is None or endpoint.start != start:
             # It is gone, or has started again: the calls of before ended with it.
             if not calls:
--- a/packages/daemon/src/knapweedbridge_daemon/serving/side_faces.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/side_faces.py
@@ -41,22 +41,22 @@
     def gauges(self) -> dict[str, float]:
         """Return the levels that are read when they are asked for, by name."""
         hub = self._hub
-        deployment = hub.beliefs.deployment
+        deployment = hub.cluster.deployment
         return {
-            "endpoints": len(hub.beliefs.fleet.endpoints),
-            "endpoints_unlisted": hub.beliefs.fleet.unlisted_count(),
-            "endpoints_limited": hub.beliefs.fleet.limited_count(),
-            "endpoints_brittle": hub.beliefs.fleet.brittle_count(),
-            "endpoints_leaving": hub.beliefs.fleet.leaving_count(),
-            "endpoints_resting": hub.beliefs.fleet.resting_count(anyio.current_time()),
-            "software_versions": hub.beliefs.fleet.software.most(),
-            "endpoints_unreachable": hub.beliefs.fleet.unreachable_count(
+            "endpoints": len(hub.cluster.fleet.endpoints),
+            "endpoints_unlisted": hub.cluster.fleet.unlisted_count(),
+            "endpoints_limited": hub.cluster.fleet.limited_count(),
+            "endpoints_brittle": hub.cluster.fleet.brittle_count(),
+            "endpoints_leaving": hub.cluster.fleet.leaving_count(),
+            "endpoints_resting": hub.cluster.fleet.resting_count(anyio.current_time()),
+            "software_versions": hub.cluster.fleet.software.most(),
+            "endpoints_unreachable": hub.cluster.fleet.unreachable_count(
                 anyio.current_time()
             ),
             "paths_cut": len(hub.paths),
             "links_lost": float(hub.paths.has_lost_links),
             "calls_overdue": hub.overload.queued(),
-            "daemons": len(hub.beliefs.daemons),
+            "daemons": len(hub.cluster.daemons),
             "configuration_version": deployment.version if deployment else 0,
             "connections_opened": hub.pool.opened,
             "connections_reused": hub.pool.reused,
--- a/packages/daemon/src/knapweedbridge_daemon/serving/software_records.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/software_records.py
@@ -38,7 +38,7 @@
                 await self._look()
 
     async def _look(self) -> None:
-        software = self._hub.beliefs.fleet.software
+        software = self._hub.cluster.fleet.software
         for service in software.services():
             now_s = anyio.current_time()
             versions = software.to_record(service, now_s)
@@ -52,7 +52,7 @@
 
     def _turn_s(self) -> float | None:
         """Return how long this host leaves a write to others; None: it writes none."""
-        ranks = self._hub.beliefs.ranks
+        ranks = self._hub.cluster.ranks
         identity = self._hub.identity
         names = ranks.get(identity.data_centre, [])
         if identity.name not in names:
--- a/packages/daemon/src/knapweedbridge_daemon/serving/store_marks.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/store_marks.py
@@ -37,12 +37,12 @@
             await self._send(relay, StoreMarked(now_s))
 
     def _relays(self, now_s: float) -> list[str]:
-        identity, beliefs = self._hub.identity, self._hub.beliefs
+        identity, cluster = self._hub.identity, self._hub.cluster
         age = self._hub.store_age
-        heard = beliefs.relays_heard(identity.name, identity.data_centre)
+        heard = cluster.relays_heard(identity.name, identity.data_centre)
         if not heard and age.is_cut_off(now_s):
             # A relay that the store turns away, or a daemon that believes itself not to
             # be listed. Hearing nobody, they served their callers, and those of hearers
             # that were turned away as well, by an old configuration.
-            return beliefs.substitutes(identity.name, identity.data_centre)
+            return cluster.substitutes(identity.name, identity.data_centre)
         return age.relays_to_mark(heard, now_s)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/stream_resuming.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/stream_resuming.py
@@ -101,7 +101,7 @@
         now_s = loop_time_s()
         origin = StreamOrigin(call.service, call.software, call.caller_until_s)
         self._own.record(stream, origin, now_s)
-        if self._hub.beliefs.fleet.software.has_several(call.service, now_s):
+        if self._hub.cluster.fleet.software.has_several(call.service, now_s):
             await self._publish([(stream, origin)])
 
     def ended(self, call: Call) -> None:
@@ -116,11 +116,11 @@
         """
         now_s = loop_time_s()
         self._runs_for_s()
-        beliefs = self._hub.beliefs
-        software = beliefs.fleet.software
+        cluster = self._hub.cluster
+        software = cluster.fleet.software
         services = {
             each
-            for each in (beliefs.deployment.services if beliefs.deployment else ())
+            for each in (cluster.deployment.services if cluster.deployment else ())
             if software.has_several(each, now_s)
         }
         state = frozenset(services), self._starts()
@@ -131,7 +131,7 @@
 
     def _starts(self) -> tuple[str, ...]:
         """Return which starts of which hosts may keep origins."""
-        daemons = self._hub.beliefs.daemons
+        daemons = self._hub.cluster.daemons
         return tuple(
             f"{name} {daemons[name].incarnation}"
             for names in self._candidates().values()
@@ -139,15 +139,15 @@
         )
 
     def _candidates(self) -> dict[str, list[str]]:
-        beliefs = self._hub.beliefs
+        cluster = self._hub.cluster
         return {
             data_centre: [
                 name
                 for name in names
                 if name == self._hub.identity.name
-                or understands(beliefs.protocol_of(name), PROBE)
+                or understands(cluster.protocol_of(name), PROBE)
             ]
-            for data_centre, names in beliefs.keepers.items()
+            for data_centre, names in cluster.keepers.items()
         }
 
     async def _publish(self, streams: list[tuple[str, StreamOrigin]]) -> None:
@@ -223,7 +223,7 @@
         return (self._own.find(stream) or self._kept.find(stream)) if stream else None
 
     def _versions(self, service: str) -> set[str]:
-        return self._hub.beliefs.fleet.software.of(service, loop_time_s())
+        return self._hub.cluster.fleet.software.of(service, loop_time_s())
 
     def _view(self, service: str, age_s: float) -> VersionView:
         """Return what this host knows of the versions of a service.
@@ -249,11 +249,11 @@
 
     def _is_uniform(self) -> bool:
         """Return whether all hosts that may record versions speak this protocol."""
-        beliefs = self._hub.beliefs
+        cluster = self._hub.cluster
         return all(
             name == self._hub.identity.name
-            or understands(beliefs.protocol_of(name), PROBE)
-            for names in beliefs.ranks.values()
+            or understands(cluster.protocol_of(name), PROBE)
+            for names in cluster.ranks.values()
             for name in names
         )
 
--- a/packages/daemon/src/knapweedbridge_daemon/serving/sweeping.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/sweeping.py
@@ -30,7 +30,7 @@
         due_s = anyio.current_time() + SWEEP_S
         while True:
             await self._hub.losses_changed.wait(max(0.0, due_s - anyio.current_time()))
-            for before in self._hub.beliefs.fleet.take_restarted():
+            for before in self._hub.cluster.fleet.take_restarted():
                 await self._end_start(before)
             if anyio.current_time() >= due_s:
                 await self._sweep()
@@ -38,7 +38,7 @@
 
     async def _sweep(self) -> None:
         self._forget_unlisted()
-        engines = self._hub.beliefs.fleet.engines()
+        engines = self._hub.cluster.fleet.engines()
         addresses = {each.record.address for each in engines}
         self._hub.paths.keep_only(addresses)
         await self._hub.pool.close_idle(addresses)
@@ -46,7 +46,7 @@
     def _forget_unlisted(self) -> None:
         hub = self._hub
         now_s = anyio.current_time()
-        for name in hub.beliefs.fleet.forget_unlisted(now_s):
+        for name in hub.cluster.fleet.forget_unlisted(now_s):
             hub.log.info("endpoint.gone", endpoint=name, cause="not listed again")
             hub.engines_changed.tell()
 
--- a/packages/daemon/src/knapweedbridge_daemon/serving/tunnels.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/tunnels.py
@@ -211,10 +211,10 @@
     @property
     def forwarders(self) -> Forwarders:
         """The hosts that are asked."""
-        beliefs = self._hub.beliefs
-        if self._known_of != beliefs.owner_changes:
-            self._known_of = beliefs.owner_changes
-            self._forwarders.know(beliefs.daemons.values(), beliefs.without_links)
+        cluster = self._hub.cluster
+        if self._known_of != cluster.owner_changes:
+            self._known_of = cluster.owner_changes
+            self._forwarders.know(cluster.daemons.values(), cluster.without_links)
         return self._forwarders
 
     async def open(self, destination: Destination) -> TunnelStream:
@@ -244,7 +244,7 @@
                 tasks.cancel_scope.cancel()
             if race.stream is not None:
                 return race.take()
-        others = len(self._hub.beliefs.daemons) - 1
+        others = len(self._hub.cluster.daemons) - 1
         is_lost = race.unreachable >= min(UNREACHABLE_PROOF, others)
         raise NotSentError(f"{destination.address}: no host reaches it", is_lost)
 
@@ -280,15 +280,15 @@
     async def _dial(
         self, name: str, destination: Destination
     ) -> tuple[TunnelStream, TunnelOpened | TunnelRefused]:
-        identity, beliefs = self._hub.identity, self._hub.beliefs
-        record = beliefs.daemons.get(name)
+        identity, cluster = self._hub.identity, self._hub.cluster
+        record = cluster.daemons.get(name)
         if record is None:
             raise PeerError(f"{name} is not listed")
         async with AsyncExitStack() as stack:
             made = await connect_peer(*split_address(record.address))
             stack.callback(made.abort)
             set_options(made.raw)
-            handshake = Handshake(identity.name, identity.incarnation, beliefs.secret)
+            handshake = Handshake(identity.name, identity.incarnation, cluster.secret)
             await handshake.greet(made, name)
             stream = TunnelStream(made, name)
             answer = await stream.ask(destination)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/turn_giving.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/turn_giving.py
@@ -112,7 +112,7 @@
             token_s = self._hub.rates.engine_token_s(self._endpoint)
             self._pacer.token_s = token_s * self._speed.spell_times(now_s)
             if not self._pacer.seen_scale:
-                paced = self._hub.beliefs.fleet.paced
+                paced = self._hub.cluster.fleet.paced
                 self._pacer.heard(paced.scales(self._endpoint, now_s))
             self._long_prompts.pace_scale = self._pacer.seen_scale
         self._long_prompts.pace_tokens = self._pacer.budget_tokens
--- a/packages/daemon/src/knapweedbridge_daemon/serving/turns.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/turns.py
@@ -118,7 +118,7 @@
 
     def given(self, message: TurnsGiven) -> None:
         """Take the turns that an owner gave."""
-        endpoint = self._hub.beliefs.fleet.endpoints.get(message.endpoint)
+        endpoint = self._hub.cluster.fleet.endpoints.get(message.endpoint)
         if endpoint is not None:
             endpoint.asked_s = None
         self._give(message.tickets)
--- a/packages/standins/src/knapweedbridge_standins/relay_pool/pool.py
+++ b/packages/standins/src/knapweedbridge_standins/relay_pool/pool.py
@@ -55,7 +55,7 @@
         self.name = record.name
         self.hub = self._make_hub(record, store)
         for each in daemons:
-            self.hub.beliefs.take(DaemonNamed(each), 0.0)
+            self.hub.cluster.take(DaemonNamed(each), 0.0)
         self.link = PeerLink(self.hub)
         self.link._peers = WirePeers(wire, record.name)  # type: ignore[assignment]
         self.follower = StoreFollower(
@@ -99,12 +99,12 @@
 
     def knows_leaving(self, name: str) -> bool:
         """Tell whether it knows that an endpoint leaves."""
-        endpoint = self.hub.beliefs.fleet.endpoints.get(name)
+        endpoint = self.hub.cluster.fleet.endpoints.get(name)
         return endpoint is not None and endpoint.record.leaving
 
     def uses(self, name: str) -> bool:
         """Tell whether it may send new calls to an endpoint."""
-        in_use = self.hub.beliefs.fleet.of_service(SERVICE, anyio.current_time())
+        in_use = self.hub.cluster.fleet.of_service(SERVICE, anyio.current_time())
         return any(endpoint.name == name for endpoint in in_use)
 
 
--- a/packages/standins/src/knapweedbridge_standins/serving_histories/cluster.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_histories/cluster.py
@@ -13,7 +13,7 @@
 def play_beliefs(seed: int, steps: int = 300) -> list[str]:
     """Return where something older was put in force than was seen before."""
     luck = random.Random(seed)
-    beliefs, model = Beliefs(), ModelRef("m", "a1")
+    cluster, model = Beliefs(), ModelRef("m", "a1")
     written = 0
     seen = {"configuration": 0, "version": 0, "owner": 0}
     broken = []
@@ -23,15 +23,15 @@
         kind = luck.choice(list(seen))
         seen[kind] = max(seen[kind], number)
         if kind == "configuration":
-            beliefs.take(DeploymentNamed(Deployment(number, (), {})), step)
+            cluster.take(DeploymentNamed(Deployment(number, (), {})), step)
         elif kind == "version":
-            beliefs.take(VersionNamed(model, number), step)
+            cluster.take(VersionNamed(model, number), step)
         else:
-            beliefs.take(OwnerNamed("e", OwnerRecord("h", 1, number)), step)
-        deployment, owner = beliefs.deployment, beliefs.owners.get("e")
+            cluster.take(OwnerNamed("e", OwnerRecord("h", 1, number)), step)
+        deployment, owner = cluster.deployment, cluster.owners.get("e")
         in_force = {
             "configuration": deployment.version if deployment else 0,
-            "version": beliefs.wanted_version(model) or 0,
+            "version": cluster.wanted_version(model) or 0,
             "owner": owner.number if owner else 0,
         }
         if in_force != seen:
--- a/packages/standins/src/knapweedbridge_standins/serving_histories/eras.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_histories/eras.py
@@ -12,7 +12,7 @@
 def play_eras(seed: int, changes: int = 60) -> list[str]:
     """Return fencing numbers that fell, and owners that were not believed in."""
     luck = random.Random(seed)
-    beliefs, broken = Beliefs(), []
+    cluster, broken = Beliefs(), []
     era, revision, last = 1, 1, 0
     for turn in range(changes):
         if luck.random() < 0.1:
@@ -23,8 +23,8 @@
             broken.append(f"turn {turn}: number {number} after {last}")
         last = number
         owner = f"h{luck.randrange(5)}"
-        beliefs.take(OwnerNamed(ENGINE, OwnerRecord(owner, 1, number)), float(turn))
-        if beliefs.owners[ENGINE].owner != owner:
+        cluster.take(OwnerNamed(ENGINE, OwnerRecord(owner, 1, number)), float(turn))
+        if cluster.owners[ENGINE].owner != owner:
             broken.append(f"turn {turn}: {owner} is not believed to own it")
         if era_of(number) != era:
             broken.append(f"turn {turn}: era {era_of(number)} for {era}")
--- a/packages/standins/src/knapweedbridge_standins/serving_histories/late_news.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_histories/late_news.py
@@ -85,8 +85,8 @@
     def _any_daemon(self) -> str:
         # Half of the time a relay: few daemons are, and all of this hangs on them.
         names = sorted(self._pool.daemons)
-        beliefs = self._pool.daemons[self._luck.choice(names)].hub.beliefs
-        relays = [name for each in beliefs.relays.values() for name in each]
+        cluster = self._pool.daemons[self._luck.choice(names)].hub.cluster
+        relays = [name for each in cluster.relays.values() for name in each]
         return self._luck.choice(
             relays if relays and self._luck.random() < 0.5 else names
         )
@@ -194,7 +194,7 @@
 
     def _relays_of(self, name: str) -> list[str]:
         centre = self._pool.records[name].data_centre
-        relays = self._pool.daemons[name].hub.beliefs.relays.get(centre, [])
+        relays = self._pool.daemons[name].hub.cluster.relays.get(centre, [])
         return [relay for relay in relays if relay != name]
 
     def _heard_since_s(self, relay: str) -> float:
--- a/packages/standins/src/knapweedbridge_standins/serving_histories/limits.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_histories/limits.py
@@ -101,7 +101,7 @@
         self._pool.unlist_daemon(name)
         await anyio.sleep(DOWN_S)
         daemon.link.permits._pacers.clear()
-        for endpoint in daemon.hub.beliefs.fleet.engines():
+        for endpoint in daemon.hub.cluster.fleet.engines():
             endpoint.pressure = Backpressure()
         for limited in self._endpoints:
             limited.told_s.pop(name, None)
@@ -133,7 +133,7 @@
                 tasks.start_soon(self._send, daemon, endpoint)
 
     async def _send(self, daemon: PoolDaemon, limited: _LimitedEndpoint) -> None:
-        endpoint = daemon.hub.beliefs.fleet.endpoints[limited.name]
+        endpoint = daemon.hub.cluster.fleet.endpoints[limited.name]
         if not await daemon.link.permits.take(endpoint) or daemon.name in self._down:
             return
         now_s = anyio.current_time()
--- a/packages/standins/src/knapweedbridge_standins/serving_histories/owners.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_histories/owners.py
@@ -52,7 +52,7 @@
 @dataclass(slots=True)
 class _Daemon:
     name: str
-    beliefs: Beliefs = field(default_factory=Beliefs)
+    cluster: Beliefs = field(default_factory=Beliefs)
     lease: LeaseClock = field(default_factory=LeaseClock)
     renewed_s: float = 0.0
     lease_from: int = 0
@@ -68,7 +68,7 @@
             return
         daemon.seen += 1
         belief = OwnerNamed("e", record) if record else OwnerGone("e")
-        daemon.beliefs.take(belief, now_s)
+        daemon.cluster.take(belief, now_s)
 
 
 def _renew(daemon: _Daemon, store: _Store, now_s: float, luck: random.Random) -> None:
@@ -85,16 +85,16 @@
 
 
 def _claim(daemon: _Daemon, store: _Store, all_: list[_Daemon], now_s: float) -> None:
-    beliefs = daemon.beliefs
-    if not beliefs.is_ownerless("e"):
+    cluster = daemon.cluster
+    if not cluster.is_ownerless("e"):
         return
     records = [DaemonRecord(each.name, 1, "", "d") for each in all_]
     order = claimants("e", "d", records)
-    free_s = beliefs.free_since_s.get("e", 0.0)
+    free_s = cluster.free_since_s.get("e", 0.0)
     due_s = claim_due_s(daemon.name, order, free_s)
     if due_s is None or due_s > now_s:
         return
-    known = beliefs.owners.get("e")
+    known = cluster.owners.get("e")
     store.claim(daemon.name, known.number if known else 0, now_s)
 
 
@@ -108,7 +108,7 @@
         records = [DaemonRecord(each.name, 1, "", "d") for each in self._daemons]
         for daemon in self._daemons:
             for record in records:
-                daemon.beliefs.take(DaemonNamed(record), 0.0)
+                daemon.cluster.take(DaemonNamed(record), 0.0)
         self._arriving: list[tuple[float, int, str]] = []
         self._highest = (0, "")
         self.broken: list[str] = []
@@ -135,7 +135,7 @@
             _renew(daemon, self._store, now_s, self._luck)
             _follow(daemon, self._store, self._luck.uniform(0, LAG_S), now_s)
             _claim(daemon, self._store, self._daemons, now_s)
-        record = daemon.beliefs.owners.get("e")
+        record = daemon.cluster.owners.get("e")
         if record is None or record.owner != daemon.name:
             return
         if record.number > daemon.lease_from and daemon.lease.may_order(now_s):
--- a/packages/standins/src/knapweedbridge_standins/serving_histories/stream_origins.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_histories/stream_origins.py
@@ -187,7 +187,7 @@
 
     def __init__(self, pool: "_Pool", host: _Host) -> None:
         self.host = host
-        self.beliefs = Beliefs()
+        self.cluster = Beliefs()
         self.known_s = -math.inf
         self.began_s = anyio.current_time()
         self.read_items = 0
@@ -226,15 +226,15 @@
             news.append(items[self.read_items][1])
             self.read_items += 1
         for belief in _listed(news) if is_first else news:
-            self.beliefs.take(belief, now_s)
-        self.beliefs.note_time(now_s)
+            self.cluster.take(belief, now_s)
+        self.cluster.note_time(now_s)
         self.known_s = max(self.known_s, up_to_s)
         await self.resuming.refresh()
         self._record_versions(now_s)
 
     def _record_versions(self, now_s: float) -> None:
         """Have the store hold the versions that serve side by side, now and then."""
-        software = self.beliefs.fleet.software
+        software = self.cluster.fleet.software
         for service in software.services():
             versions = software.to_record(service, now_s)
             is_turn = self._pool.luck.random() < RECORDS_SHARE
@@ -247,7 +247,7 @@
 
     def __init__(self, process: _Process) -> None:
         self._process = process
-        self.beliefs = process.beliefs
+        self.cluster = process.cluster
         self.identity = process.host
         self.measures = process.measures
         self.log = SimpleNamespace(info=lambda *event, **fields: None)
@@ -593,7 +593,7 @@
 
     def _place(self, process: _Process, call: _Call) -> _Server | None:
         """Choose an endpoint as the host sees them; None where it is not there."""
-        fleet = process.beliefs.fleet
+        fleet = process.cluster.fleet
         now_s = anyio.current_time()
         able = list(filter(call.may_go_to, fleet.of_service(call.service, now_s)))
         if not able:
@@ -607,7 +607,7 @@
         """Run an attempt; return whether it broke off."""
         start = server.started_ms
         if process.host.protocol >= PROTOCOL:
-            endpoint = process.beliefs.fleet.endpoints[server.name]
+            endpoint = process.cluster.fleet.endpoints[server.name]
             await process.resuming.begun(cast(Call, call), endpoint)
         ends_s = anyio.current_time() + self._luck.uniform(0.3, 8.0)
         cut_s = anyio.current_time() + self._luck.expovariate(0.25)
@@ -669,8 +669,8 @@
         those daemons has been upgraded.
         """
         is_older = stream.until_s - CALLER_WAITS_S < process.began_s
-        beliefs = process.beliefs
-        protocols = map(beliefs.protocol_of, beliefs.daemons)
+        cluster = process.cluster
+        protocols = map(cluster.protocol_of, cluster.daemons)
         return is_older and any(protocol < PROTOCOL for protocol in protocols)
 
     def _note(
--- a/packages/standins/src/knapweedbridge_standins/serving_histories/versions.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_histories/versions.py
@@ -53,7 +53,7 @@
     """A daemon's beliefs, and up to when it knows what the store acknowledged."""
 
     def __init__(self) -> None:
-        self.beliefs = Beliefs()
+        self.cluster = Beliefs()
         self.known_s = float("-inf")
         self.heard = 0
 
@@ -124,7 +124,7 @@
             news = news[-1:]
         for _, version in news:
             belief = VersionNamed(MODEL, version)
-            daemon.beliefs.take(belief, self._now_s, known_s=daemon.known_s)
+            daemon.cluster.take(belief, self._now_s, known_s=daemon.known_s)
         daemon.heard = len(self._named)
         daemon.known_s = self._now_s
 
@@ -148,7 +148,7 @@
         return fleet
 
     def _call(self, daemon: _Daemon) -> None:
-        versions = daemon.beliefs.versions_now(MODEL, self._now_s)
+        versions = daemon.cluster.versions_now(MODEL, self._now_s)
         ask = PlacementAsk(MODEL, versions, "d")
         engines = self._fleet().reachable("s", self._now_s)
         self._luck.shuffle(engines)
@@ -165,20 +165,20 @@
     def _order(self, name: str, daemon: _Daemon) -> None:
         (engine,) = (each for each in self._engines if each.name == name)
         if engine.loading is None:
-            newest = daemon.beliefs.wanted_version(MODEL) or 1
+            newest = daemon.cluster.wanted_version(MODEL) or 1
             engine.loading = self._now_s + self._luck.uniform(0.05, 1.5), newest
 
     def _send(self, daemon: _Daemon, endpoint: Endpoint) -> None:
         version = endpoint.held[MODEL].version
         first_s = self._placement.rates.first_event_s(endpoint, 0, self._now_s)
         begins_s = self._now_s + first_s + self._luck.uniform(0.0, LATE_BEGIN_S)
-        is_older = version < (daemon.beliefs.wanted_version(MODEL) or 0)
+        is_older = version < (daemon.cluster.wanted_version(MODEL) or 0)
         self._runs.append(_Run(daemon, version, begins_s, is_older))
 
     def _begin_due(self) -> None:
         """Begin what is due, but for what its daemon has given up."""
         for run in self._runs:
-            until_s = run.daemon.beliefs.begins_until_s(MODEL, run.version)
+            until_s = run.daemon.cluster.begins_until_s(MODEL, run.version)
             if run.daemon not in self._daemons:
                 # Its connections were closed as the daemon ended.
                 continue
@@ -191,7 +191,7 @@
         self._runs = [each for each in self._runs if self._waits(each)]
 
     def _waits(self, run: _Run) -> bool:
-        until_s = run.daemon.beliefs.begins_until_s(MODEL, run.version)
+        until_s = run.daemon.cluster.begins_until_s(MODEL, run.version)
         ends_s = min(run.begins_s, until_s - WITHDRAWN_S)
         return run.daemon in self._daemons and ends_s > self._now_s
 
