--- a/packages/core/src/knapweedbridge_core/member_side.py
+++ b/packages/core/src/knapweedbridge_core/member_side.py
@@ -44,7 +44,7 @@
             messages.MembersRequest: self._members_ask,
             messages.MemberList: self._members_told,
             messages.IndirectProbeRequest: self._suspicions.asked,
-            messages.SilenceTold: self._suspicions.told,
+            messages.IndirectProbeResponse: self._suspicions.told,
             messages.ProbeAsk: self._probe_ask,
         }
 
--- a/packages/core/src/knapweedbridge_core/membership_messages.py
+++ b/packages/core/src/knapweedbridge_core/membership_messages.py
@@ -43,8 +43,8 @@
     host: str
 
 
-@message
-class SilenceTold:
+@message(tag="SilenceTold")
+class IndirectProbeResponse:
     """Whether a daemon answered the one that was asked to try it."""
 
     host: str
--- a/packages/core/src/knapweedbridge_core/messages.py
+++ b/packages/core/src/knapweedbridge_core/messages.py
@@ -44,12 +44,12 @@
 from knapweedbridge_core.membership_messages import (
     Heartbeat,
     IndirectProbeRequest,
+    IndirectProbeResponse,
     Introduction,
     MemberList,
     MembersRequest,
     ProbeAsk,
     ProbeTold,
-    SilenceTold,
 )
 from knapweedbridge_core.owner_messages import (
     EvictionIntent,
@@ -100,7 +100,7 @@
     "ProbeAsk",
     "ProbeTold",
     "IndirectProbeRequest",
-    "SilenceTold",
+    "IndirectProbeResponse",
     "SlotDeclined",
     "SlotWanted",
     "SlotsChanged",
--- a/packages/core/src/knapweedbridge_core/suspicions.py
+++ b/packages/core/src/knapweedbridge_core/suspicions.py
@@ -40,7 +40,7 @@
         answered = [trial for trial in self._trials if trial.host == host]
         for trial in answered:
             self._trials.remove(trial)
-            self._context.send(trial.asker, messages.SilenceTold(host, True))
+            self._context.send(trial.asker, messages.IndirectProbeResponse(host, True))
 
     def excuse(self, host: str) -> None:
         """Count a daemon's silence from now on."""
@@ -71,7 +71,9 @@
             self._conclude(suspicion)
         for trial in [trial for trial in self._trials if now_s >= trial.ends_s]:
             self._trials.remove(trial)
-            self._context.send(trial.asker, messages.SilenceTold(trial.host, False))
+            self._context.send(
+                trial.asker, messages.IndirectProbeResponse(trial.host, False)
+            )
 
     def asked(self, message: messages.IndirectProbeRequest) -> None:
         """Try a daemon for another one."""
@@ -80,7 +82,7 @@
         self._trials.append(Trial(message.host, self._context.sender, ends_s))
         self._context.send(message.host, messages.ProbeAsk())
 
-    def told(self, message: messages.SilenceTold) -> None:
+    def told(self, message: messages.IndirectProbeResponse) -> None:
         """Take what a helper found."""
         suspicion = self._open.get(message.host)
         if suspicion is None:
