--- a/bench/mutants_serving.py
+++ b/bench/mutants_serving.py
@@ -216,7 +216,7 @@
         [
             rewritten(
                 Backpressure,
-                "take_rest",
+                "record_pause",
                 ("max(self.closed_until_s, until_s)", "now_s"),
             )
         ],
--- a/features/backpressure/steps/pause_steps.py
+++ b/features/backpressure/steps/pause_steps.py
@@ -72,7 +72,7 @@
 @played(lease_ms=3000)
 async def rests_meanwhile(context, path):
     def mark(pressure):
-        pressure.take_rest(5.0, anyio.current_time())
+        pressure.record_pause(5.0, anyio.current_time())
 
     context.found = await mark_and_send(path, mark)
 
--- a/packages/core/src/knapweedbridge_core/serving/backpressure.py
+++ b/packages/core/src/knapweedbridge_core/serving/backpressure.py
@@ -81,7 +81,7 @@
         self.leaves = True
         return is_new
 
-    def take_rest(self, rest_s: float, now_s: float) -> None:
+    def record_pause(self, rest_s: float, now_s: float) -> None:
         """Take that it wants nothing from this daemon for some seconds."""
         until_s = now_s + min(rest_s, LONGEST_REST_S)
         self.rests_until_s = max(self.rests_until_s, until_s)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/answer_signs.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/answer_signs.py
@@ -49,7 +49,7 @@
     def _take_rest(self, endpoint: Endpoint, answer: AnswerHead) -> None:
         if answer.rest_s is None:
             return
-        endpoint.pressure.take_rest(answer.rest_s, anyio.current_time())
+        endpoint.pressure.record_pause(answer.rest_s, anyio.current_time())
         self._hub.measures.count("endpoint_rests")
         self._hub.log.info(
             "endpoint.resting", endpoint=endpoint.name, rest_s=answer.rest_s
--- a/packages/standins/src/knapweedbridge_standins/serving_histories/answers.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_histories/answers.py
@@ -56,7 +56,7 @@
 
     def _asks_for_rest(self) -> None:
         rest_s = self._luck.uniform(0.0, LONGEST_REST_S)
-        self._fleet.endpoints[NAME].pressure.take_rest(rest_s, self.now_s)
+        self._fleet.endpoints[NAME].pressure.record_pause(rest_s, self.now_s)
         until_s = max(self._expected.rests_until_s, self.now_s + rest_s)
         self._expected.rests_until_s = until_s
 
