--- a/packages/core/src/knapweedbridge_core/configuration_side.py
+++ b/packages/core/src/knapweedbridge_core/configuration_side.py
@@ -63,7 +63,7 @@
             messages.ConfigurationAsk: self._giver.send_changes,
             messages.ConfigurationChanged: self._changed,
             messages.ConfigurationRoot: self._root,
-            messages.PartsAsk: self._giver.give_parts,
+            messages.PartsAsk: self._giver.send_parts,
             messages.PartTold: self._part_told,
         }
 
