--- a/features/serving/steps/restart_steps.py
+++ b/features/serving/steps/restart_steps.py
@@ -72,7 +72,7 @@
     context.fleet = Fleet()
     endpoint = context.fleet.listed(record(started, ["m/y"]), NOW_S)
     context.fleet.listed(record(started, ["m/x"]), NOW_S)
-    endpoint.note_unreachable(NOW_S)
+    endpoint.record_unreachable(NOW_S)
     for _ in range(5):
         endpoint.note_result(True, NOW_S)
     context.before = endpoint
@@ -110,7 +110,7 @@
 def call_of_before(context, started):
     context.fleet.listed(record(started), NOW_S)
     context.before.note_result(True, NOW_S)
-    context.before.note_unreachable(NOW_S)
+    context.before.record_unreachable(NOW_S)
 
 
 @then("e1 is believed empty, sound and at start {started:d}")
--- a/packages/core/src/knapweedbridge_core/serving/endpoint.py
+++ b/packages/core/src/knapweedbridge_core/serving/endpoint.py
@@ -298,7 +298,7 @@
         self.failure_share = share + 0.2 * ((1.0 if failed else 0.0) - share)
         self.failure_s = now_s
 
-    def note_unreachable(self, now_s: float) -> None:
+    def record_unreachable(self, now_s: float) -> None:
         """Back off after a connection that could not be made or broke at once."""
         pause_s = SUSPECT_FIRST_S * 2**self.failures_in_row
         self.failures_in_row = min(self.failures_in_row + 1, 8)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/attempting.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/attempting.py
@@ -92,7 +92,7 @@
         except NotSentError as error:
             end, detail = AttemptEnd.NOT_RUN, str(error)
             call.refused.add(endpoint.name)
-            endpoint.note_unreachable(loop_time_s())
+            endpoint.record_unreachable(loop_time_s())
             self._records.unreachable(endpoint, error)
             if error.is_lost:
                 self._link.crashes.note_lost(endpoint.name, "unreachable")
@@ -237,7 +237,7 @@
         if proved.endpoint not in (None, endpoint.name):
             # Its address went to another: the one that was believed in is gone.
             call.refused.add(endpoint.name)
-            endpoint.note_unreachable(now_s)
+            endpoint.record_unreachable(now_s)
             self._link.crashes.note_lost(endpoint.name, "replaced")
         elif not proved.wrong_endpoint or model not in endpoint.held:
             call.refused.add(endpoint.name)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/crash_watch.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/crash_watch.py
@@ -240,7 +240,7 @@
             )
         self._hub.measures.count("probes", cause or "nothing_found")
         if cause:
-            endpoint.note_unreachable(loop_time_s())
+            endpoint.record_unreachable(loop_time_s())
             await self.endpoint_lost(endpoint.name, cause, endpoint.start.started_ms)
         elif lives:
             self._note_lives(endpoint)
