--- a/bench/mutants_serving.py
+++ b/bench/mutants_serving.py
@@ -6,7 +6,7 @@
 
 from knapweedbridge_core.serving import (
     Backpressure,
-    Beliefs,
+    ClusterState,
     Endpoint,
     EngineKeeper,
     Fleet,
@@ -58,7 +58,7 @@
     ),
     "claims an engine whose owner lives": (
         "who orders an engine",
-        [(Beliefs, "is_ownerless", lambda self, endpoint: True)],
+        [(ClusterState, "is_ownerless", lambda self, endpoint: True)],
     ),
     "a load is ordered with every place taken": (
         "what an engine is ordered",
@@ -74,7 +74,7 @@
         "what is in force",
         [
             rewritten(
-                Beliefs,
+                ClusterState,
                 "_take_deployment",
                 ("deployment.version <= self.deployment.version", "False"),
             )
@@ -98,7 +98,7 @@
     ),
     "a version counts from when it was heard of": (
         "which version work begins on",
-        [rewritten(Beliefs, "take", ("version, known_s)", "version, now_s)"))],
+        [rewritten(ClusterState, "take", ("version, known_s)", "version, now_s)"))],
     ),
     "a call may be placed in the last moment in which it may begin": (
         "which version work begins on",
@@ -110,7 +110,11 @@
     ),
     "an older owner's record is taken": (
         "what is in force",
-        [rewritten(Beliefs, "_take_owner", ("record.number < known.number", "False"))],
+        [
+            rewritten(
+                ClusterState, "_take_owner", ("record.number < known.number", "False")
+            )
+        ],
     ),
     "a call that may run once is sent again": (
         "at most once",
@@ -166,7 +170,7 @@
     ),
     "a relay that the store turns away hears nobody": (
         "who knows of it in time",
-        [(Beliefs, "substitutes", lambda self, name, data_centre: [])],
+        [(ClusterState, "substitutes", lambda self, name, data_centre: [])],
     ),
     "a keeper forgets what it gave": (
         "what an account uses",
--- a/features/listing/steps/removed_entry_steps.py
+++ b/features/listing/steps/removed_entry_steps.py
@@ -6,7 +6,12 @@
 import anyio
 from behave import given, then, when
 
-from knapweedbridge_core.serving import Beliefs, DaemonRecord, Endpoint, StoreOutage
+from knapweedbridge_core.serving import (
+    ClusterState,
+    DaemonRecord,
+    Endpoint,
+    StoreOutage,
+)
 from knapweedbridge_core.serving.cluster_state import DaemonNamed
 from knapweedbridge_daemon.serving.side_faces import SideFaces
 from knapweedbridge_standins.relay_pool import RelayPool
@@ -36,7 +41,7 @@
 
 def relays(records):
     """Return the names of those that hand the store's changes on."""
-    cluster = Beliefs()
+    cluster = ClusterState()
     for record in records:
         cluster.take(DaemonNamed(record), 0.0)
     return set(chain.from_iterable(cluster.relays.values()))
--- a/features/paths/steps/tunnel_steps.py
+++ b/features/paths/steps/tunnel_steps.py
@@ -14,7 +14,7 @@
 
 from knapweedbridge_core.codec import encode
 from knapweedbridge_core.serving import (
-    Beliefs,
+    ClusterState,
     DaemonRecord,
     EndpointPaths,
     Forwarders,
@@ -89,7 +89,7 @@
 
 def hub_of(name, address, paths, draining=False):
     """Return the hub of a daemon that knows host-0, host-1 and an endpoint."""
-    cluster = Beliefs(secret=SECRET)
+    cluster = ClusterState(secret=SECRET)
     for host in ("host-0", "host-1"):
         cluster.daemons[host] = DaemonRecord(host, 1, address, "d0")
     record = SimpleNamespace(address="127.0.0.1:1")
--- a/features/platform/steps/upgrade_steps.py
+++ b/features/platform/steps/upgrade_steps.py
@@ -16,7 +16,7 @@
 
 from knapweedbridge_core.serving import (
     PROTOCOL,
-    Beliefs,
+    ClusterState,
     DaemonRecord,
     understands,
 )
@@ -207,7 +207,7 @@
 
 @given("a daemon that {says}")
 def daemon_that(context, says):
-    context.cluster = Beliefs()
+    context.cluster = ClusterState()
     context.cluster.take(DaemonNamed(DaemonRecord("h1", 5, "a", "d")), 0.0)
     if SAID[says] is not None:
         context.cluster.take(ProtocolNamed("h1", *SAID[says]), 0.0)
--- a/features/serving/steps/belief_steps.py
+++ b/features/serving/steps/belief_steps.py
@@ -2,7 +2,7 @@
 from decision_values import NOW_S, make_route, record
 
 from knapweedbridge_core.serving import (
-    Beliefs,
+    ClusterState,
     DaemonRecord,
     Deployment,
     LeaseClock,
@@ -63,7 +63,7 @@
 
 @given("host h1 at start 5 owned engine e1")
 def owned_before(context):
-    cluster = context.cluster = Beliefs()
+    cluster = context.cluster = ClusterState()
     cluster.take(DaemonNamed(DaemonRecord("h1", 5, "a", "d1")), NOW_S)
     cluster.take(OwnerNamed("e1", OwnerRecord("h1", 5, 40)), NOW_S)
 
@@ -121,7 +121,7 @@
 
 @when("{what} at 5 is followed by 4")
 def followed(context, what):
-    cluster = context.cluster = Beliefs()
+    cluster = context.cluster = ClusterState()
     for number in (5, 4):
         cluster.take(BELIEFS[what](number), NOW_S)
 
@@ -139,7 +139,7 @@
 
 @given("a listed endpoint")
 def listed(context):
-    context.cluster = Beliefs()
+    context.cluster = ClusterState()
     context.cluster.take(EndpointNamed(record("e1")), NOW_S)
 
 
--- a/features/serving/steps/kept_view_steps.py
+++ b/features/serving/steps/kept_view_steps.py
@@ -6,7 +6,7 @@
 from behave import given, then, when
 
 from knapweedbridge_core.serving import (
-    Beliefs,
+    ClusterState,
     DaemonRecord,
     Deployment,
     EndpointPaths,
@@ -52,7 +52,7 @@
 
 
 def hub_of(daemons, engines):
-    cluster = Beliefs(deployment=DEPLOYMENT)
+    cluster = ClusterState(deployment=DEPLOYMENT)
     for n in range(daemons):
         cluster.take(DaemonNamed(DaemonRecord(f"h{n}", 5, "a", "d0")), -100.0)
     for n in range(engines):
--- a/features/serving/steps/late_news_steps.py
+++ b/features/serving/steps/late_news_steps.py
@@ -3,7 +3,7 @@
 import anyio
 from behave import given, then, when
 
-from knapweedbridge_core.serving import Beliefs, DaemonRecord
+from knapweedbridge_core.serving import ClusterState, DaemonRecord
 from knapweedbridge_core.serving.cluster_state import DaemonNamed
 from knapweedbridge_core.serving.messages import RelayAsked, StoreTold
 from knapweedbridge_daemon.serving.store_telling import pack_items
@@ -24,7 +24,7 @@
 
 
 def believed():
-    cluster = Beliefs()
+    cluster = ClusterState()
     for record in RECORDS:
         cluster.take(DaemonNamed(record), 0.0)
     return cluster
--- a/features/serving/steps/pool_size_steps.py
+++ b/features/serving/steps/pool_size_steps.py
@@ -3,7 +3,7 @@
 import anyio
 from behave import given, then, when
 
-from knapweedbridge_core.serving import Beliefs, DaemonRecord, EndpointRecord
+from knapweedbridge_core.serving import ClusterState, DaemonRecord, EndpointRecord
 from knapweedbridge_core.serving.cluster_state import (
     DaemonGone,
     DaemonNamed,
@@ -31,7 +31,7 @@
 
 @given("{before:d} daemons were listed {ago:g} s ago, and {daemons:d} still are")
 def daemons_listed(context, before, ago, daemons):
-    context.cluster, context.ago_s = Beliefs(), ago
+    context.cluster, context.ago_s = ClusterState(), ago
     for n in range(max(before, daemons)):
         record = DaemonRecord(f"h{n}", 1, "a", f"d{n % 2}" if daemons > 1 else "d0")
         context.cluster.take(DaemonNamed(record), NOW_S - ago)
@@ -91,7 +91,7 @@
 
 @given("{daemons:d} daemons and {endpoints:d} endpoints listed at a daemon's start")
 def listed_at_start(context, daemons, endpoints):
-    context.cluster = Beliefs()
+    context.cluster = ClusterState()
     context.cluster.note_time(NOW_S)
     for n in range(daemons):
         record = DaemonRecord(f"h{n}", 1, "a", "d0")
--- a/features/serving/steps/relay_steps.py
+++ b/features/serving/steps/relay_steps.py
@@ -4,7 +4,7 @@
 from behave import given, then, when
 
 from knapweedbridge_core.serving import (
-    Beliefs,
+    ClusterState,
     DaemonRecord,
     Endpoint,
     EndpointRecord,
@@ -57,7 +57,7 @@
 
 
 def pool(daemons):
-    cluster = Beliefs()
+    cluster = ClusterState()
     for n in range(daemons):
         named = DaemonRecord(f"h{n}", 1, "a", f"d{n % 2}")
         cluster.take(DaemonNamed(named), NOW_S)
--- a/features/serving/steps/restart_steps.py
+++ b/features/serving/steps/restart_steps.py
@@ -10,7 +10,7 @@
 from hypothesis import settings, strategies
 
 from knapweedbridge_core.serving import (
-    Beliefs,
+    ClusterState,
     EndpointRecord,
     EndpointStart,
     Fleet,
@@ -245,7 +245,7 @@
     context.lines = Lines()
     context.hub = SimpleNamespace(
         dialects=SimpleNamespace(store_items=PlatformItems(), own_keys=OwnKeys()),
-        cluster=Beliefs(),
+        cluster=ClusterState(),
         measures=Measures(),
         log=context.lines,
         outage=StoreOutage(3.0),
--- a/packages/core/src/knapweedbridge_core/serving/cluster_state.py
+++ b/packages/core/src/knapweedbridge_core/serving/cluster_state.py
@@ -46,7 +46,7 @@
 
 __all__ = [
     "Belief",
-    "Beliefs",
+    "ClusterState",
     "CallAllowed",
     "CallRefused",
     "DaemonGone",
@@ -67,7 +67,7 @@
 
 
 @dataclass(slots=True)
-class Beliefs:
+class ClusterState:
     """All that one daemon believes of the deployment.
 
     Parameters
--- a/packages/daemon/src/knapweedbridge_daemon/serving/hub.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/hub.py
@@ -10,7 +10,7 @@
 
 from knapweedbridge_core.serving import (
     AdmitAll,
-    Beliefs,
+    ClusterState,
     CrashLedger,
     EndpointPaths,
     EngineLimits,
@@ -121,7 +121,7 @@
     measures: Measures
     pool: ConnectionPool = field(default_factory=ConnectionPool)
     paths: EndpointPaths = field(default_factory=EndpointPaths)
-    cluster: Beliefs = field(default_factory=Beliefs)
+    cluster: ClusterState = field(default_factory=ClusterState)
     crashes: CrashLedger = field(default_factory=CrashLedger)
     lease: LeaseClock = field(default_factory=LeaseClock)
     load_times: LoadTimes = field(default_factory=LoadTimes)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/patience.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/patience.py
@@ -7,7 +7,7 @@
 
 import anyio
 
-from knapweedbridge_core.serving import Beliefs, ModelRef
+from knapweedbridge_core.serving import ClusterState, ModelRef
 from knapweedbridge_daemon.serving.clock import loop_time_s
 from knapweedbridge_daemon.serving.http_client import BrokenError
 
@@ -70,7 +70,7 @@
 
     __slots__ = ("_beliefs", "_steady_s", "_waiting")
 
-    def __init__(self, cluster: Beliefs, steady_s: Callable[[], float]) -> None:
+    def __init__(self, cluster: ClusterState, steady_s: Callable[[], float]) -> None:
         self._beliefs = cluster
         self._steady_s = steady_s
         self._waiting: dict[ModelRef, set[Patience]] = defaultdict(set)
--- a/packages/standins/src/knapweedbridge_standins/serving_histories/cluster.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_histories/cluster.py
@@ -2,7 +2,7 @@
 
 import random
 
-from knapweedbridge_core.serving import Beliefs, Deployment, ModelRef, OwnerRecord
+from knapweedbridge_core.serving import ClusterState, Deployment, ModelRef, OwnerRecord
 from knapweedbridge_core.serving.cluster_state import (
     DeploymentNamed,
     OwnerNamed,
@@ -13,7 +13,7 @@
 def play_beliefs(seed: int, steps: int = 300) -> list[str]:
     """Return where something older was put in force than was seen before."""
     luck = random.Random(seed)
-    cluster, model = Beliefs(), ModelRef("m", "a1")
+    cluster, model = ClusterState(), ModelRef("m", "a1")
     written = 0
     seen = {"configuration": 0, "version": 0, "owner": 0}
     broken = []
--- a/packages/standins/src/knapweedbridge_standins/serving_histories/eras.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_histories/eras.py
@@ -2,7 +2,7 @@
 
 import random
 
-from knapweedbridge_core.serving import Beliefs, OwnerRecord, era_of
+from knapweedbridge_core.serving import ClusterState, OwnerRecord, era_of
 from knapweedbridge_core.serving import store_eras as store_eras_module
 from knapweedbridge_core.serving.cluster_state import OwnerNamed
 
@@ -12,7 +12,7 @@
 def play_eras(seed: int, changes: int = 60) -> list[str]:
     """Return fencing numbers that fell, and owners that were not believed in."""
     luck = random.Random(seed)
-    cluster, broken = Beliefs(), []
+    cluster, broken = ClusterState(), []
     era, revision, last = 1, 1, 0
     for turn in range(changes):
         if luck.random() < 0.1:
--- a/packages/standins/src/knapweedbridge_standins/serving_histories/owners.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_histories/owners.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field
 
 from knapweedbridge_core.serving import (
-    Beliefs,
+    ClusterState,
     DaemonRecord,
     LeaseClock,
     OwnerRecord,
@@ -52,7 +52,7 @@
 @dataclass(slots=True)
 class _Daemon:
     name: str
-    cluster: Beliefs = field(default_factory=Beliefs)
+    cluster: ClusterState = field(default_factory=ClusterState)
     lease: LeaseClock = field(default_factory=LeaseClock)
     renewed_s: float = 0.0
     lease_from: int = 0
--- a/packages/standins/src/knapweedbridge_standins/serving_histories/stream_origins.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_histories/stream_origins.py
@@ -13,8 +13,8 @@
 
 from knapweedbridge_core.serving import (
     PROTOCOL,
-    Beliefs,
     CallKind,
+    ClusterState,
     DaemonRecord,
     Deployment,
     Endpoint,
@@ -187,7 +187,7 @@
 
     def __init__(self, pool: "_Pool", host: _Host) -> None:
         self.host = host
-        self.cluster = Beliefs()
+        self.cluster = ClusterState()
         self.known_s = -math.inf
         self.began_s = anyio.current_time()
         self.read_items = 0
--- a/packages/standins/src/knapweedbridge_standins/serving_histories/versions.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_histories/versions.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from knapweedbridge_core.serving import (
-    Beliefs,
+    ClusterState,
     Endpoint,
     EndpointRecord,
     Fleet,
@@ -53,7 +53,7 @@
     """A daemon's beliefs, and up to when it knows what the store acknowledged."""
 
     def __init__(self) -> None:
-        self.cluster = Beliefs()
+        self.cluster = ClusterState()
         self.known_s = float("-inf")
         self.heard = 0
 
