--- a/features/members/steps/stream_steps.py
+++ b/features/members/steps/stream_steps.py
@@ -7,7 +7,7 @@
 from behave import given, then, when
 
 from knapweedbridge_core.events import PeerConnected, PeerDisconnected, PeerMessage
-from knapweedbridge_core.messages import MAX_MESSAGE_BYTES, ProbeAsk
+from knapweedbridge_core.messages import MAX_MESSAGE_BYTES, ProbeRequest
 from knapweedbridge_daemon import peers as peers_module
 from knapweedbridge_daemon.handshake import Handshake
 from knapweedbridge_daemon.peer_sockets import PeerListener
@@ -130,7 +130,7 @@
     def send(self, sender, receiver, address, message=None):
         side = self.sides[sender]
         side.peers.know(self.tasks, {receiver: address})
-        side.peers.send(receiver, message or ProbeAsk())
+        side.peers.send(receiver, message or ProbeRequest())
 
 
 @given('daemons "{hosts}"')
--- a/packages/core/src/knapweedbridge_core/member_side.py
+++ b/packages/core/src/knapweedbridge_core/member_side.py
@@ -45,7 +45,7 @@
             messages.MemberList: self._members_told,
             messages.IndirectProbeRequest: self._suspicions.asked,
             messages.IndirectProbeResponse: self._suspicions.told,
-            messages.ProbeAsk: self._probe_ask,
+            messages.ProbeRequest: self._probe_ask,
         }
 
     def _tick(self, event: events.Tick) -> None:
@@ -123,7 +123,7 @@
         members = self._context.members
         behind = [peer.name for peer in members.peers() if peer.generation < newest]
         for host in set(behind) - set(members.neighbours()):
-            self._context.send(host, messages.ProbeAsk())
+            self._context.send(host, messages.ProbeRequest())
 
     def _hosts_listed(self, event: events.HostsListed) -> None:
         first = not self._context.members.known()
@@ -191,7 +191,7 @@
             self._take(MemberState(*state))
         self._context.members.unsure = self._context.isolated
 
-    def _probe_ask(self, message: messages.ProbeAsk) -> None:
+    def _probe_ask(self, message: messages.ProbeRequest) -> None:
         self._beat([self._context.sender])
 
     def _take(self, state: MemberState) -> None:
--- a/packages/core/src/knapweedbridge_core/membership_messages.py
+++ b/packages/core/src/knapweedbridge_core/membership_messages.py
@@ -51,8 +51,8 @@
     answered: bool
 
 
-@message
-class ProbeAsk:
+@message(tag="ProbeAsk")
+class ProbeRequest:
     """Any answer will do."""
 
 
--- a/packages/core/src/knapweedbridge_core/messages.py
+++ b/packages/core/src/knapweedbridge_core/messages.py
@@ -48,7 +48,7 @@
     Introduction,
     MemberList,
     MembersRequest,
-    ProbeAsk,
+    ProbeRequest,
     ProbeTold,
 )
 from knapweedbridge_core.owner_messages import (
@@ -97,7 +97,7 @@
     "OwnerRose",
     "PartTold",
     "PartsAsk",
-    "ProbeAsk",
+    "ProbeRequest",
     "ProbeTold",
     "IndirectProbeRequest",
     "IndirectProbeResponse",
--- a/packages/core/src/knapweedbridge_core/suspicions.py
+++ b/packages/core/src/knapweedbridge_core/suspicions.py
@@ -80,7 +80,7 @@
         wait_s = self._context.silence_s * ANSWER_SHARE
         ends_s = self._context.now_s + wait_s
         self._trials.append(Trial(message.host, self._context.sender, ends_s))
-        self._context.send(message.host, messages.ProbeAsk())
+        self._context.send(message.host, messages.ProbeRequest())
 
     def told(self, message: messages.IndirectProbeResponse) -> None:
         """Take what a helper found."""
