--- a/packages/core/src/knapweedbridge_core/serving/backpressure.py
+++ b/packages/core/src/knapweedbridge_core/serving/backpressure.py
@@ -23,7 +23,7 @@
         When the endpoint said that, on the daemon's clock.
     leaves : bool
         Whether it has said that it leaves.
-    rests_until_s : float
+    paused_until_s : float
         Until when it wants nothing from this daemon.
     closed_until_s : float
         Until when it is sent nothing: it rests, or no permit can be had.
@@ -34,7 +34,7 @@
     brittle_per_s: float | None = None
     brittle_heard_s: float = -math.inf
     leaves: bool = False
-    rests_until_s: float = -math.inf
+    paused_until_s: float = -math.inf
     closed_until_s: float = -math.inf
 
     def update_limit(self, limit_per_s: float | None, heard_s: float) -> bool:
@@ -51,7 +51,7 @@
         changed = limit_per_s != self.limit_per_s
         self.limit_per_s = limit_per_s
         if changed:
-            self.closed_until_s = self.rests_until_s
+            self.closed_until_s = self.paused_until_s
         return changed
 
     def record_no_permit(self, until_s: float) -> None:
@@ -67,7 +67,7 @@
         changed = brittle_per_s != self.brittle_per_s
         self.brittle_per_s = brittle_per_s
         if changed and brittle_per_s is None:
-            self.closed_until_s = self.rests_until_s
+            self.closed_until_s = self.paused_until_s
         return changed
 
     @property
@@ -84,7 +84,7 @@
     def record_pause(self, rest_s: float, now_s: float) -> None:
         """Take that it wants nothing from this daemon for some seconds."""
         until_s = now_s + min(rest_s, LONGEST_REST_S)
-        self.rests_until_s = max(self.rests_until_s, until_s)
+        self.paused_until_s = max(self.paused_until_s, until_s)
         self.closed_until_s = max(self.closed_until_s, until_s)
 
     @property
--- a/packages/core/src/knapweedbridge_core/serving/fleet.py
+++ b/packages/core/src/knapweedbridge_core/serving/fleet.py
@@ -286,7 +286,7 @@
 
     def resting_count(self, now_s: float) -> int:
         """Return how many endpoints want nothing from this daemon now."""
-        endings = (each.pressure.rests_until_s for each in self.endpoints.values())
+        endings = (each.pressure.paused_until_s for each in self.endpoints.values())
         return sum(until_s > now_s for until_s in endings)
 
     def unreachable_count(self, now_s: float) -> int:
--- a/packages/standins/src/knapweedbridge_standins/serving_histories/answers.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_histories/answers.py
@@ -18,7 +18,7 @@
     """What must hold of the endpoint's present start."""
 
     leaves: bool = False
-    rests_until_s: float = -math.inf
+    paused_until_s: float = -math.inf
 
 
 class _History:
@@ -57,8 +57,8 @@
     def _asks_for_rest(self) -> None:
         rest_s = self._luck.uniform(0.0, LONGEST_REST_S)
         self._fleet.endpoints[NAME].pressure.record_pause(rest_s, self.now_s)
-        until_s = max(self._expected.rests_until_s, self.now_s + rest_s)
-        self._expected.rests_until_s = until_s
+        until_s = max(self._expected.paused_until_s, self.now_s + rest_s)
+        self._expected.paused_until_s = until_s
 
     def _leaves(self) -> None:
         self._fleet.endpoints[NAME].pressure.record_draining()
@@ -76,9 +76,13 @@
         open_now = bool(self._fleet.reachable(SERVICE, self.now_s))
         if open_now and expected.leaves:
             return f"{self.now_s:.2f} s: sent calls, but it leaves"
-        if open_now and expected.rests_until_s > self.now_s:
+        if open_now and expected.paused_until_s > self.now_s:
             return f"{self.now_s:.2f} s: sent calls, but it rests"
-        if not open_now and not expected.leaves and expected.rests_until_s < self.now_s:
+        if (
+            not open_now
+            and not expected.leaves
+            and expected.paused_until_s < self.now_s
+        ):
             return f"{self.now_s:.2f} s: sent no calls, for no reason"
         return None
 
