--- a/packages/core/src/knapweedbridge_core/configuration_responder.py
+++ b/packages/core/src/knapweedbridge_core/configuration_responder.py
@@ -9,7 +9,7 @@
 from knapweedbridge_core.parts import Changes, Root, part_of
 
 KEPT_STEPS = 32
-SECTIONS_A_STEP = 500
+MAX_DELTA_SECTIONS = 500
 PARTS_A_MESSAGE = 4
 
 
@@ -70,7 +70,7 @@
         changes: Changes = {}
         for step in steps[tokens.index(token) :]:
             changes.update(step.changes)
-        return changes if len(changes) <= SECTIONS_A_STEP else None
+        return changes if len(changes) <= MAX_DELTA_SECTIONS else None
 
     def _tell_root(self) -> None:
         held = root_of(self._context.configuration)
--- a/packages/core/src/knapweedbridge_core/configuration_side.py
+++ b/packages/core/src/knapweedbridge_core/configuration_side.py
@@ -11,8 +11,8 @@
 from knapweedbridge_core.changes import change
 from knapweedbridge_core.configuration import Configuration, build_parts
 from knapweedbridge_core.configuration_responder import (
+    MAX_DELTA_SECTIONS,
     PARTS_A_MESSAGE,
-    SECTIONS_A_STEP,
     ConfigurationResponder,
     root_of,
 )
@@ -269,7 +269,7 @@
         if not held.token:
             return None
         changes = parts.changes_from(held.parts)
-        return changes if len(changes) <= SECTIONS_A_STEP else None
+        return changes if len(changes) <= MAX_DELTA_SECTIONS else None
 
     def _put_in_force(self, configuration: Configuration, source: str) -> None:
         generation = configuration.generation
