--- a/packages/core/src/knapweedbridge_core/serving/endpoint.py
+++ b/packages/core/src/knapweedbridge_core/serving/endpoint.py
@@ -304,7 +304,7 @@
         self.failures_in_row = min(self.failures_in_row + 1, 8)
         self.suspect_until_s = now_s + min(pause_s, SUSPECT_LONGEST_S)
 
-    def note_answer(self, now_s: float) -> None:
+    def record_answer(self, now_s: float) -> None:
         """End the back-off: the endpoint answers."""
         self.answered_s = now_s
         self.failures_in_row = 0
--- a/packages/daemon/src/knapweedbridge_daemon/serving/attempting.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/attempting.py
@@ -182,7 +182,7 @@
                 ),
             )
             forecast.head_s = loop_time_s()
-            endpoint.note_answer(forecast.head_s)
+            endpoint.record_answer(forecast.head_s)
             if not connection.forwarder:
                 self._hub.paths.linked_s = loop_time_s()
             proved = self._hub.dialects.endpoints.read_answer(answer)
