--- a/packages/core/src/knapweedbridge_core/serving/__init__.py
+++ b/packages/core/src/knapweedbridge_core/serving/__init__.py
@@ -26,7 +26,7 @@
     refusal_keepers,
 )
 from knapweedbridge_core.serving.caller_wait import PendingRequest, UsualDeadlines
-from knapweedbridge_core.serving.cluster_state import Belief, ClusterState
+from knapweedbridge_core.serving.cluster_state import ClusterState, StoreEvent
 from knapweedbridge_core.serving.crash_parts import PartLedger
 from knapweedbridge_core.serving.crashes import CrashLedger
 from knapweedbridge_core.serving.deployment import (
@@ -139,7 +139,7 @@
     "AttemptEnd",
     "Backpressure",
     "BaseModel",
-    "Belief",
+    "StoreEvent",
     "ClusterState",
     "CallKind",
     "CallProgress",
--- a/packages/core/src/knapweedbridge_core/serving/cluster_state.py
+++ b/packages/core/src/knapweedbridge_core/serving/cluster_state.py
@@ -25,7 +25,6 @@
 )
 from knapweedbridge_core.serving.protocols import FIRST_PROTOCOL
 from knapweedbridge_core.serving.store_events import (
-    Belief,
     CallAllowed,
     CallRefused,
     DaemonGone,
@@ -41,11 +40,12 @@
     ProtocolNamed,
     SecretNamed,
     SoftwareRecorded,
+    StoreEvent,
     VersionNamed,
 )
 
 __all__ = [
-    "Belief",
+    "StoreEvent",
     "ClusterState",
     "CallAllowed",
     "CallRefused",
@@ -184,7 +184,7 @@
 
     def take(
         self,
-        belief: Belief,
+        belief: StoreEvent,
         now_s: float,
         lapsed_until_s: float = -math.inf,
         known_s: float = -math.inf,
--- a/packages/core/src/knapweedbridge_core/serving/store_events.py
+++ b/packages/core/src/knapweedbridge_core/serving/store_events.py
@@ -147,7 +147,7 @@
     secret: bytes
 
 
-Belief = (
+StoreEvent = (
     DeploymentNamed
     | VersionNamed
     | EndpointNamed
--- a/packages/daemon/src/knapweedbridge_daemon/serving/believing.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/believing.py
@@ -8,12 +8,12 @@
 
 from knapweedbridge_core.serving import era_of
 from knapweedbridge_core.serving.cluster_state import (
-    Belief,
     CallAllowed,
     CallRefused,
     DeploymentNamed,
     EndpointGone,
     EndpointNamed,
+    StoreEvent,
     VersionNamed,
 )
 from knapweedbridge_core.serving.messages import StoreTold
@@ -317,7 +317,7 @@
             outage_over_s=round(self._hub.outage.over_for_s(now_s), 3),
         )
 
-    def _draw_conclusions(self, belief: Belief, now_s: float) -> None:
+    def _draw_conclusions(self, belief: StoreEvent, now_s: float) -> None:
         """Have those know who keep something of what has changed."""
         hub = self._hub
         match belief:
--- a/packages/daemon/src/knapweedbridge_daemon/serving/dialects.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/dialects.py
@@ -15,7 +15,7 @@
     Order,
     OrderAnswer,
 )
-from knapweedbridge_core.serving.cluster_state import Belief
+from knapweedbridge_core.serving.cluster_state import StoreEvent
 from knapweedbridge_daemon.errors import DaemonError
 from knapweedbridge_daemon.serving.wire import (
     Headers,
@@ -243,7 +243,7 @@
     prefix: str
 
     @abstractmethod
-    def read(self, key: str, value: bytes | None, revision: int) -> Belief | None:
+    def read(self, key: str, value: bytes | None, revision: int) -> StoreEvent | None:
         """Decode an item, or a removed key where ``value`` is None.
 
         Returns None for what serving does not need; raises DialectError.
--- a/packages/daemon/src/knapweedbridge_daemon/serving/item_reading.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/item_reading.py
@@ -1,6 +1,6 @@
 """Reads items of the platform's store as beliefs, and tells of those it cannot read."""
 
-from knapweedbridge_core.serving.cluster_state import Belief, EndpointUnreadable
+from knapweedbridge_core.serving.cluster_state import EndpointUnreadable, StoreEvent
 from knapweedbridge_daemon.serving.dialects import DialectError
 from knapweedbridge_daemon.serving.hub import Hub
 from knapweedbridge_daemon.serving.own_records import read_own
@@ -20,7 +20,7 @@
         self._hub = hub
         self._unreadable: set[str] = set()
 
-    def read(self, item: StoreItem) -> Belief | None:
+    def read(self, item: StoreItem) -> StoreEvent | None:
         """Return what an item says; None where that is nothing, or cannot be read.
 
         What was believed before stays in force then.
@@ -37,7 +37,7 @@
             self._hub.log.info("store.readable", key=item.key, revision=item.revision)
         return belief
 
-    def _decode(self, item: StoreItem) -> Belief | None:
+    def _decode(self, item: StoreItem) -> StoreEvent | None:
         dialects = self._hub.dialects
         if item.key.startswith(dialects.own_keys.prefix):
             return read_own(dialects.own_keys, item.key, item.value, item.revision)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/own_records.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/own_records.py
@@ -4,7 +4,6 @@
 
 from knapweedbridge_core.serving import DaemonRecord, OwnerRecord
 from knapweedbridge_core.serving.cluster_state import (
-    Belief,
     CallAllowed,
     CallRefused,
     DaemonGone,
@@ -16,6 +15,7 @@
     ProtocolNamed,
     SecretNamed,
     SoftwareRecorded,
+    StoreEvent,
 )
 from knapweedbridge_daemon.serving.dialects import DialectError, OwnKeys
 
@@ -58,7 +58,7 @@
 
 def read_own(
     keys: OwnKeys, key: str, value: bytes | None, revision: int
-) -> Belief | None:
+) -> StoreEvent | None:
     """Decode an item that daemons keep; raises DialectError."""
     kind, _, name = key.removeprefix(keys.prefix).partition("/")
     try:
@@ -81,7 +81,7 @@
     return None
 
 
-def _read_daemon(name: str, value: bytes | None) -> Belief:
+def _read_daemon(name: str, value: bytes | None) -> StoreEvent:
     if value is None:
         return DaemonGone(name)
     incarnation, address, data_centre, draining = msgpack.unpackb(value)
@@ -93,7 +93,7 @@
     )
 
 
-def _read_owner(name: str, value: bytes | None, revision: int) -> Belief:
+def _read_owner(name: str, value: bytes | None, revision: int) -> StoreEvent:
     if value is None:
         return OwnerGone(name)
     owner, incarnation = msgpack.unpackb(value)
@@ -102,7 +102,7 @@
     return OwnerNamed(name, OwnerRecord(owner, incarnation, revision))
 
 
-def _read_links(name: str, value: bytes | None) -> Belief:
+def _read_links(name: str, value: bytes | None) -> StoreEvent:
     if value is None:
         return LinksBack(name)
     (incarnation,) = msgpack.unpackb(value)
@@ -110,7 +110,7 @@
     return LinksLost(name, incarnation)
 
 
-def _read_refused(mark: str, value: bytes | None) -> Belief:
+def _read_refused(mark: str, value: bytes | None) -> StoreEvent:
     if value is None:
         return CallAllowed(mark)
     (for_s,) = msgpack.unpackb(value)
@@ -118,7 +118,7 @@
     return CallRefused(mark, for_s)
 
 
-def _read_software(service: str, value: bytes | None) -> Belief:
+def _read_software(service: str, value: bytes | None) -> StoreEvent:
     versions = msgpack.unpackb(value) if value is not None else []
     _check(versions, list)
     for each in versions:
@@ -126,7 +126,7 @@
     return SoftwareRecorded(service, tuple(versions))
 
 
-def _read_protocol(name: str, value: bytes) -> Belief:
+def _read_protocol(name: str, value: bytes) -> StoreEvent:
     incarnation, protocol = msgpack.unpackb(value)
     _check(incarnation, int)
     _check(protocol, int)
--- a/packages/standins/src/knapweedbridge_standins/relay_pool/store.py
+++ b/packages/standins/src/knapweedbridge_standins/relay_pool/store.py
@@ -8,9 +8,9 @@
 
 from knapweedbridge_core.serving import EndpointRecord
 from knapweedbridge_core.serving.cluster_state import (
-    Belief,
     EndpointGone,
     EndpointNamed,
+    StoreEvent,
 )
 from knapweedbridge_daemon.errors import StoreError
 from knapweedbridge_daemon.store import (
@@ -48,7 +48,7 @@
     prefix = ""
 
     @staticmethod
-    def read(key: str, value: bytes | None, revision: int) -> Belief | None:
+    def read(key: str, value: bytes | None, revision: int) -> StoreEvent | None:
         """Decode one item."""
         name = key.removeprefix(ENDPOINTS)
         if value is None:
--- a/packages/standins/src/knapweedbridge_standins/serving_histories/stream_origins.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_histories/stream_origins.py
@@ -27,7 +27,6 @@
 from knapweedbridge_core.serving.origin_messages import OriginAsked, OriginsRecorded
 from knapweedbridge_core.serving.protocols import understands
 from knapweedbridge_core.serving.store_events import (
-    Belief,
     DaemonGone,
     DaemonNamed,
     DeploymentNamed,
@@ -35,6 +34,7 @@
     EndpointNamed,
     ProtocolNamed,
     SoftwareRecorded,
+    StoreEvent,
 )
 from knapweedbridge_core.serving.stream_origins import SWEEP_S
 from knapweedbridge_daemon.serving.call import Call
@@ -159,9 +159,9 @@
         return not self.troubles and now_s >= self.troubled_s + CONTACT_S
 
 
-def _listed(items: list[Belief]) -> list[Belief]:
+def _listed(items: list[StoreEvent]) -> list[StoreEvent]:
     """Return what a list of the store shows after some changes."""
-    present: dict[tuple[str, str], Belief] = {}
+    present: dict[tuple[str, str], StoreEvent] = {}
     for item in items:
         match item:
             case EndpointNamed(record):
@@ -217,7 +217,7 @@
         """Read what the store had acknowledged by a moment."""
         now_s = anyio.current_time()
         items = self._pool.store
-        news: list[Belief] = []
+        news: list[StoreEvent] = []
         is_first = not self.read_items
         if is_first:
             # From here on it knows which versions are there.
@@ -265,12 +265,12 @@
     tasks: TaskGroup
     broken: list[str]
     hosts: dict[str, _Host] = field(default_factory=dict)
-    store: list[tuple[float, Belief]] = field(default_factory=list)
+    store: list[tuple[float, StoreEvent]] = field(default_factory=list)
     cuts: list[tuple[set[str], set[str]]] = field(default_factory=list)
     served: dict[str, set[str]] = field(default_factory=dict)
     sent: Counter[type] = field(default_factory=Counter)
 
-    def write(self, belief: Belief) -> None:
+    def write(self, belief: StoreEvent) -> None:
         """Write something to the store."""
         self.store.append((anyio.current_time(), belief))
 
