--- a/packages/core/src/knapweedbridge_core/membership_messages.py
+++ b/packages/core/src/knapweedbridge_core/membership_messages.py
@@ -56,8 +56,8 @@
     """Any answer will do."""
 
 
-@message
-class ProbeTold:
+@message(tag="ProbeTold")
+class ProbeResponse:
     """The answer to a probe."""
 
 
--- a/packages/core/src/knapweedbridge_core/messages.py
+++ b/packages/core/src/knapweedbridge_core/messages.py
@@ -49,7 +49,7 @@
     MemberList,
     MembersRequest,
     ProbeRequest,
-    ProbeTold,
+    ProbeResponse,
 )
 from knapweedbridge_core.owner_messages import (
     EvictionIntent,
@@ -98,7 +98,7 @@
     "PartTold",
     "PartsAsk",
     "ProbeRequest",
-    "ProbeTold",
+    "ProbeResponse",
     "IndirectProbeRequest",
     "IndirectProbeResponse",
     "SlotDeclined",
