--- a/packages/core/src/knapweedbridge_core/serving/__init__.py
+++ b/packages/core/src/knapweedbridge_core/serving/__init__.py
@@ -21,9 +21,9 @@
 from knapweedbridge_core.serving.backpressure import Backpressure
 from knapweedbridge_core.serving.brittle import RejectionBudget
 from knapweedbridge_core.serving.call_marks import (
-    asked_of,
     fingerprint,
     refusal_keepers,
+    request_digest,
 )
 from knapweedbridge_core.serving.caller_wait import PendingRequest, UsualDeadlines
 from knapweedbridge_core.serving.cluster_state import ClusterState, StoreEvent
@@ -222,7 +222,7 @@
     "WaitFor",
     "WeightedService",
     "WindowPacing",
-    "asked_of",
+    "request_digest",
     "choose_counted",
     "choose_plain",
     "claim_due_s",
--- a/packages/core/src/knapweedbridge_core/serving/call_marks.py
+++ b/packages/core/src/knapweedbridge_core/serving/call_marks.py
@@ -35,7 +35,7 @@
     return f"{asked.hexdigest()}{SEPARATOR}{caller.hexdigest()}"
 
 
-def asked_of(mark: str) -> str:
+def request_digest(mark: str) -> str:
     """Return the part of a mark that is the same for all addresses of a caller."""
     return mark.partition(SEPARATOR)[0]
 
@@ -48,4 +48,4 @@
     candidates : dict of str to sequence of str
         Hosts that may, by data centre.
     """
-    return choose_spread(asked_of(mark), candidates, KEEPERS)
+    return choose_spread(request_digest(mark), candidates, KEEPERS)
--- a/packages/core/src/knapweedbridge_core/serving/crashes.py
+++ b/packages/core/src/knapweedbridge_core/serving/crashes.py
@@ -14,7 +14,7 @@
 from itertools import takewhile
 
 from knapweedbridge_core.blame import LOSSES_REFUSED, Blame, Verdict
-from knapweedbridge_core.serving.call_marks import SEPARATOR, asked_of
+from knapweedbridge_core.serving.call_marks import SEPARATOR, request_digest
 from knapweedbridge_core.serving.crash_parts import (
     MOST_CALLS,
     SETTLE_S,
@@ -114,7 +114,7 @@
         self.told(ending.fingerprint, loss_id(ending.start), found.at_s)
         parts = tuple(self.parts.unsound(ending.parts, now_s))
         if parts and len(found.calls) < MOST_CALLS:
-            call = LostCall(asked_of(ending.fingerprint), parts)
+            call = LostCall(request_digest(ending.fingerprint), parts)
             found.calls.append(call)
             self.parts.blamed(loss_id(ending.start), [call], found.at_s)
 
@@ -138,7 +138,7 @@
         )
         if is_open or self.parts.waits_until_s(parts, now_s):
             return True
-        marks = mark, asked_of(mark)
+        marks = mark, request_digest(mark)
         return any(self._held.get(each, 0.0) > now_s for each in marks) or not all(
             self._is_settled(each, now_s) for each in marks
         )
@@ -155,7 +155,7 @@
         self, mark: str, parts: Sequence[str], now_s: float
     ) -> tuple[str, ...]:
         """Return what of a call a loss is held against."""
-        asked = asked_of(mark)
+        asked = request_digest(mark)
         own = (asked,) if self._blame.knows(asked) else ()
         return own + tuple(self.parts.suspected(parts, now_s))
 
@@ -217,7 +217,7 @@
 
     def told(self, mark: str, loss: str, now_s: float) -> None:
         """Blame a call for the loss of an endpoint, here or at another daemon."""
-        asked = asked_of(mark)
+        asked = request_digest(mark)
         for each in (mark, asked):
             self._blame.suspect(each, loss, loss, now_s)
             self._blame.proved(each, loss)
@@ -232,7 +232,7 @@
         was_known : bool
             Whether anything was held against it.
         """
-        asked = asked_of(mark)
+        asked = request_digest(mark)
         self._senders.pop(asked, None)
         was_known = False
         for each in (mark, asked):
@@ -308,7 +308,7 @@
         parts : sequence of str
             Marks of the shared parts of its prompt.
         """
-        marks = mark, asked_of(mark)
+        marks = mark, request_digest(mark)
         by_marks_s = max(self._refused_for_s(each, now_s) for each in marks)
         return max(by_marks_s, self.parts.refused_for_s(parts, now_s))
 
--- a/packages/daemon/src/knapweedbridge_daemon/serving/crash_watch.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/crash_watch.py
@@ -9,8 +9,8 @@
     Endpoint,
     EndpointStart,
     LossFound,
-    asked_of,
     loss_id,
+    request_digest,
 )
 from knapweedbridge_core.serving.blame_messages import (
     CallsBlamed,
@@ -145,7 +145,7 @@
 
     def _hold(self, call: Call, parts: tuple[str, ...], now_s: float) -> None:
         marks, held_parts = self._held
-        marks.update((call.mark, asked_of(call.mark)))
+        marks.update((call.mark, request_digest(call.mark)))
         held_parts.update(self._hub.crashes.parts.suspected(parts, now_s))
 
     def _probe_once(self, suspicion: Suspicion, now_s: float) -> bool:
--- a/packages/daemon/src/knapweedbridge_daemon/serving/refusal_records.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/refusal_records.py
@@ -2,7 +2,7 @@
 
 import anyio
 
-from knapweedbridge_core.serving import asked_of, refusal_keepers
+from knapweedbridge_core.serving import refusal_keepers, request_digest
 from knapweedbridge_daemon.errors import StoreError
 from knapweedbridge_daemon.serving.attempt_records import MARK_DIGITS
 from knapweedbridge_daemon.serving.hub import Hub
@@ -92,7 +92,7 @@
 
     async def _remove(self, mark: str) -> None:
         try:
-            keys = tuple({self._key(mark), self._key(asked_of(mark))})
+            keys = tuple({self._key(mark), self._key(request_digest(mark))})
             await self._hub.dialects.store.commit(Transaction(deletes=keys))
         except StoreError as error:
             self._note("refusal.not_removed", mark, error=str(error))
