--- a/packages/core/src/knapweedbridge_core/configuration_responder.py
+++ b/packages/core/src/knapweedbridge_core/configuration_responder.py
@@ -10,7 +10,7 @@
 
 KEPT_STEPS = 32
 MAX_DELTA_SECTIONS = 500
-PARTS_A_MESSAGE = 4
+MAX_PARTS_PER_REQUEST = 4
 
 
 @dataclass(slots=True, frozen=True)
@@ -85,6 +85,6 @@
         if message.token != held.token:
             self._tell_root()
             return
-        for place in message.places[:PARTS_A_MESSAGE]:
+        for place in message.places[:MAX_PARTS_PER_REQUEST]:
             told = messages.PartTold(held.token, place, held.parts.content(place))
             self._context.send(self._context.sender, told)
--- a/packages/core/src/knapweedbridge_core/configuration_side.py
+++ b/packages/core/src/knapweedbridge_core/configuration_side.py
@@ -12,7 +12,7 @@
 from knapweedbridge_core.configuration import Configuration, build_parts
 from knapweedbridge_core.configuration_responder import (
     MAX_DELTA_SECTIONS,
-    PARTS_A_MESSAGE,
+    MAX_PARTS_PER_REQUEST,
     ConfigurationResponder,
     root_of,
 )
@@ -226,7 +226,7 @@
 
     def _ask_parts(self, fetch: _Fetch) -> None:
         if fetch.missing:
-            places = fetch.missing[:PARTS_A_MESSAGE]
+            places = fetch.missing[:MAX_PARTS_PER_REQUEST]
             fetch.in_flight = set(places)
             self._context.send(fetch.peer, messages.PartsAsk(fetch.root.token, places))
             return
