--- a/features/serving/steps/relay_steps.py
+++ b/features/serving/steps/relay_steps.py
@@ -14,7 +14,7 @@
     hearers,
 )
 from knapweedbridge_core.serving.cluster_state import DaemonNamed, EndpointNamed
-from knapweedbridge_core.serving.endpoint import OwnCount
+from knapweedbridge_core.serving.endpoint import ReportedLoad
 from knapweedbridge_core.serving.messages import (
     EngineChanged,
     EngineTold,
@@ -291,7 +291,7 @@
     fleet = context.fleet = Fleet()
     endpoint = fleet.listed(record(), NOW_S - 9)
     endpoint.own_calls = own
-    endpoint.counted.append(OwnCount(NOW_S - ago, own, 0))
+    endpoint.counted.append(ReportedLoad(NOW_S - ago, own, 0))
 
 
 @when("a relay tells that it runs {calls:d} calls in all")
--- a/packages/core/src/knapweedbridge_core/serving/endpoint.py
+++ b/packages/core/src/knapweedbridge_core/serving/endpoint.py
@@ -50,7 +50,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class OwnCount:
+class ReportedLoad:
     """What a daemon told an engine's owner of its own calls, and when."""
 
     told_s: float
@@ -58,7 +58,7 @@
     unread_tokens: int
 
 
-NOTHING_COUNTED = OwnCount(-math.inf, 0, 0)
+NOTHING_COUNTED = ReportedLoad(-math.inf, 0, 0)
 
 
 @dataclass(slots=True, eq=False)
@@ -136,7 +136,9 @@
     first_listed_s: float = 0.0
     told_number: int = 0
     told_order: int = 0
-    counted: deque[OwnCount] = field(default_factory=lambda: deque(maxlen=COUNTS_KEPT))
+    counted: deque[ReportedLoad] = field(
+        default_factory=lambda: deque(maxlen=COUNTS_KEPT)
+    )
 
     @property
     def name(self) -> str:
@@ -254,9 +256,9 @@
 
     def record_reported_load(self, now_s: float) -> None:
         """Note that the owner was told of this daemon's calls as they are."""
-        self.counted.append(OwnCount(now_s, self.own_calls, self.own_unread_tokens))
+        self.counted.append(ReportedLoad(now_s, self.own_calls, self.own_unread_tokens))
 
-    def _counted_in(self, now_s: float) -> OwnCount:
+    def _counted_in(self, now_s: float) -> ReportedLoad:
         """Return what a telling that comes now counts as this daemon's own."""
         for each in reversed(self.counted):
             if each.told_s <= now_s - COUNTED_AFTER_S:
