--- a/features/serving/steps/belief_steps.py
+++ b/features/serving/steps/belief_steps.py
@@ -89,8 +89,8 @@
     context.now_s = NOW_S
     for change in changes.split(" and "):
         context.now_s += 11 if change == "11 s pass" else 0
-        for belief in CHANGES[change]:
-            context.cluster.take(belief, context.now_s)
+        for store_event in CHANGES[change]:
+            context.cluster.take(store_event, context.now_s)
 
 
 @then("e1 is ownerless: {free}, and may still be ordered by h1: {may}")
--- a/features/serving/steps/kept_view_steps.py
+++ b/features/serving/steps/kept_view_steps.py
@@ -144,8 +144,8 @@
     if change in FLEET_CHANGES:
         FLEET_CHANGES[change](context.fleet)
         return
-    for belief in CHANGES[change]:
-        context.hub.cluster.take(belief, -90.0)
+    for store_event in CHANGES[change]:
+        context.hub.cluster.take(store_event, -90.0)
 
 
 @then("e0 goes by the scales {scales}")
--- a/features/serving/steps/restart_steps.py
+++ b/features/serving/steps/restart_steps.py
@@ -217,11 +217,11 @@
 @then("it names an endpoint whose fields have their types, or none")
 def types_hold(context):
     named = 0
-    for belief in context.found:
-        if isinstance(belief, EndpointUnreadable):
+    for store_event in context.found:
+        if isinstance(store_event, EndpointUnreadable):
             continue
         named += 1
-        found = belief.record
+        found = store_event.record
         texts = (found.service, found.address, found.data_centre, *found.bases)
         assert all(isinstance(each, str) for each in texts), found
         assert type(found.slots) is int and found.slots > 0, found
--- a/packages/core/src/knapweedbridge_core/serving/cluster_state.py
+++ b/packages/core/src/knapweedbridge_core/serving/cluster_state.py
@@ -184,7 +184,7 @@
 
     def take(
         self,
-        belief: StoreEvent,
+        store_event: StoreEvent,
         now_s: float,
         lapsed_until_s: float = -math.inf,
         known_s: float = -math.inf,
@@ -199,13 +199,13 @@
             Last moment before at which all that the store had acknowledged was known,
             by a clock that also counts while the host is suspended.
         """
-        match belief:
+        match store_event:
             case DeploymentNamed(deployment):
                 return self._take_deployment(deployment)
             case VersionNamed(model, version):
                 return self._take_version(model, version, known_s)
             case EndpointNamed() | EndpointUnreadable() | EndpointGone():
-                return self._take_listing(belief, now_s, lapsed_until_s)
+                return self._take_listing(store_event, now_s, lapsed_until_s)
             case DaemonNamed(record):
                 self.daemons[record.name] = record
                 self._daemons_changed(now_s)
@@ -216,9 +216,9 @@
             case SoftwareRecorded(service, versions):
                 self.fleet.software.recorded(service, versions, now_s)
             case LinksLost() | LinksBack() | ProtocolNamed():
-                self._take_of_daemon(belief)
+                self._take_of_daemon(store_event)
             case OwnerNamed() | OwnerGone():
-                self._take_ownership(belief, now_s)
+                self._take_ownership(store_event, now_s)
             case SecretNamed(secret):
                 self.secret = secret
         return True
@@ -231,15 +231,17 @@
         elif self._large_until_s == math.inf:
             self._large_until_s = now_s + LARGE_LISTED_S
 
-    def _take_of_daemon(self, belief: LinksLost | LinksBack | ProtocolNamed) -> None:
-        if isinstance(belief, ProtocolNamed):
-            self._protocols[belief.name] = belief
+    def _take_of_daemon(
+        self, store_event: LinksLost | LinksBack | ProtocolNamed
+    ) -> None:
+        if isinstance(store_event, ProtocolNamed):
+            self._protocols[store_event.name] = store_event
             return
         self.owner_changes += 1
-        if isinstance(belief, LinksLost):
-            self._links_lost[belief.name] = belief.incarnation
+        if isinstance(store_event, LinksLost):
+            self._links_lost[store_event.name] = store_event.incarnation
         else:
-            self._links_lost.pop(belief.name, None)
+            self._links_lost.pop(store_event.name, None)
 
     def protocol_of(self, name: str) -> int:
         """Return which protocol a daemon speaks, as far as it has said."""
@@ -288,11 +290,13 @@
         endpoint.owner = owner.owner if owner else ""
         return True
 
-    def _take_ownership(self, belief: OwnerNamed | OwnerGone, now_s: float) -> None:
-        if isinstance(belief, OwnerNamed):
-            self._take_owner(belief.endpoint, belief.record, now_s)
+    def _take_ownership(
+        self, store_event: OwnerNamed | OwnerGone, now_s: float
+    ) -> None:
+        if isinstance(store_event, OwnerNamed):
+            self._take_owner(store_event.endpoint, store_event.record, now_s)
         else:
-            self._owner_gone(belief.endpoint, now_s)
+            self._owner_gone(store_event.endpoint, now_s)
 
     def _take_owner(self, endpoint: str, record: OwnerRecord, now_s: float) -> None:
         known = self.owners.get(endpoint)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/believing.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/believing.py
@@ -317,10 +317,10 @@
             outage_over_s=round(self._hub.outage.over_for_s(now_s), 3),
         )
 
-    def _draw_conclusions(self, belief: StoreEvent, now_s: float) -> None:
+    def _draw_conclusions(self, store_event: StoreEvent, now_s: float) -> None:
         """Have those know who keep something of what has changed."""
         hub = self._hub
-        match belief:
+        match store_event:
             case CallRefused(mark, for_s):
                 hub.crashes.published(mark, for_s, now_s)
             case CallAllowed(mark):
@@ -341,25 +341,31 @@
             self._known.discard(item.key)
         else:
             self._known.add(item.key)
-        belief = self._reader.read(item)
-        if belief is None:
+        store_event = self._reader.read(item)
+        if store_event is None:
             return False
-        if isinstance(belief, EndpointGone) and not self._is_leaving(belief.endpoint):
-            self._gone.append(belief.endpoint)
+        if isinstance(store_event, EndpointGone) and not self._is_leaving(
+            store_event.endpoint
+        ):
+            self._gone.append(store_event.endpoint)
         now_s = anyio.current_time()
-        if isinstance(belief, EndpointNamed) and now_s < self._settled_s:
-            belief = EndpointNamed(hub.cluster.fleet.still_leaving(belief.record))
-        changed = hub.cluster.take(belief, now_s, hub.outage.lapsed_until_s, known_s)
-        if isinstance(belief, EndpointGone):
-            self._note_unlisted(belief.endpoint, item.revision, now_s)
-        if isinstance(belief, EndpointNamed) and not changed:
-            self._note_listing(item.key, belief.record.endpoint, now_s)
+        if isinstance(store_event, EndpointNamed) and now_s < self._settled_s:
+            store_event = EndpointNamed(
+                hub.cluster.fleet.still_leaving(store_event.record)
+            )
+        changed = hub.cluster.take(
+            store_event, now_s, hub.outage.lapsed_until_s, known_s
+        )
+        if isinstance(store_event, EndpointGone):
+            self._note_unlisted(store_event.endpoint, item.revision, now_s)
+        if isinstance(store_event, EndpointNamed) and not changed:
+            self._note_listing(item.key, store_event.record.endpoint, now_s)
         if changed:
-            self._draw_conclusions(belief, now_s)
+            self._draw_conclusions(store_event, now_s)
             hub.log.info(
                 "belief.changed",
                 key=item.key,
-                belief=type(belief).__name__,
+                belief=type(store_event).__name__,
                 revision=item.revision,
                 relay=self._source,
                 age_s=self._age_s(),
--- a/packages/daemon/src/knapweedbridge_daemon/serving/item_reading.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/item_reading.py
@@ -26,16 +26,16 @@
         What was believed before stays in force then.
         """
         try:
-            belief = self._decode(item)
+            store_event = self._decode(item)
         except DialectError as error:
             self._note_unreadable(item, str(error))
             return None
-        if isinstance(belief, EndpointUnreadable):
-            self._note_unreadable(item, belief.cause)
+        if isinstance(store_event, EndpointUnreadable):
+            self._note_unreadable(item, store_event.cause)
         elif item.key in self._unreadable:
             self._unreadable.discard(item.key)
             self._hub.log.info("store.readable", key=item.key, revision=item.revision)
-        return belief
+        return store_event
 
     def _decode(self, item: StoreItem) -> StoreEvent | None:
         dialects = self._hub.dialects
--- a/packages/standins/src/knapweedbridge_standins/serving_histories/owners.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_histories/owners.py
@@ -67,8 +67,8 @@
         if at_s + lag_s > now_s:
             return
         daemon.seen += 1
-        belief = OwnerNamed("e", record) if record else OwnerGone("e")
-        daemon.cluster.take(belief, now_s)
+        store_event = OwnerNamed("e", record) if record else OwnerGone("e")
+        daemon.cluster.take(store_event, now_s)
 
 
 def _renew(daemon: _Daemon, store: _Store, now_s: float, luck: random.Random) -> None:
--- a/packages/standins/src/knapweedbridge_standins/serving_histories/stream_origins.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_histories/stream_origins.py
@@ -225,8 +225,8 @@
         while self.read_items < len(items) and items[self.read_items][0] <= up_to_s:
             news.append(items[self.read_items][1])
             self.read_items += 1
-        for belief in _listed(news) if is_first else news:
-            self.cluster.take(belief, now_s)
+        for store_event in _listed(news) if is_first else news:
+            self.cluster.take(store_event, now_s)
         self.cluster.note_time(now_s)
         self.known_s = max(self.known_s, up_to_s)
         await self.resuming.refresh()
@@ -270,9 +270,9 @@
     served: dict[str, set[str]] = field(default_factory=dict)
     sent: Counter[type] = field(default_factory=Counter)
 
-    def write(self, belief: StoreEvent) -> None:
+    def write(self, store_event: StoreEvent) -> None:
         """Write something to the store."""
-        self.store.append((anyio.current_time(), belief))
+        self.store.append((anyio.current_time(), store_event))
 
     def start(self, host: _Host) -> None:
         """Start a host's daemon, with an empty memory."""
--- a/packages/standins/src/knapweedbridge_standins/serving_histories/versions.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_histories/versions.py
@@ -123,8 +123,8 @@
             # A relay hands on the newest item of a key alone.
             news = news[-1:]
         for _, version in news:
-            belief = VersionNamed(MODEL, version)
-            daemon.cluster.take(belief, self._now_s, known_s=daemon.known_s)
+            store_event = VersionNamed(MODEL, version)
+            daemon.cluster.take(store_event, self._now_s, known_s=daemon.known_s)
         daemon.heard = len(self._named)
         daemon.known_s = self._now_s
 
