--- a/packages/core/src/knapweedbridge_core/holder_side.py
+++ b/packages/core/src/knapweedbridge_core/holder_side.py
@@ -73,12 +73,12 @@
         sender = self._context.sender
         if not self._context.fences.admits(endpoint, number):
             highest = self._context.fences.number(endpoint)
-            self._context.send(sender, messages.OwnerRose(endpoint, highest))
+            self._context.send(sender, messages.OwnerSuperseded(endpoint, highest))
             return
         before = self._owners.get(endpoint)
         self._note_owner(endpoint, sender, number)
         if before not in (None, sender, self._context.host):
-            self._context.send(before, messages.OwnerRose(endpoint, number))
+            self._context.send(before, messages.OwnerSuperseded(endpoint, number))
         self._context.send(sender, self._held_on(endpoint, number))
 
     def _held_on(self, endpoint: str, number: int) -> messages.HeldGrants:
@@ -101,7 +101,7 @@
         sender = self._context.sender
         if not self._context.fences.admits(endpoint, number):
             highest = self._context.fences.number(endpoint)
-            self._context.send(sender, messages.OwnerRose(endpoint, highest))
+            self._context.send(sender, messages.OwnerSuperseded(endpoint, highest))
             return
         self._intents[endpoint, model] = _Intent(number, self._context.now_s)
         noted = messages.EvictionNoted(endpoint, model, number)
--- a/packages/core/src/knapweedbridge_core/messages.py
+++ b/packages/core/src/knapweedbridge_core/messages.py
@@ -58,7 +58,7 @@
     HandOver,
     HeldGrants,
     HeldGrantsRequest,
-    OwnerRose,
+    OwnerSuperseded,
     SlotsChanged,
 )
 
@@ -94,7 +94,7 @@
     "MAX_MESSAGE_BYTES",
     "MembersRequest",
     "MemberList",
-    "OwnerRose",
+    "OwnerSuperseded",
     "PartTold",
     "PartsAsk",
     "ProbeRequest",
--- a/packages/core/src/knapweedbridge_core/owner_messages.py
+++ b/packages/core/src/knapweedbridge_core/owner_messages.py
@@ -34,8 +34,8 @@
     condemned: list[AdapterVersion]
 
 
-@message
-class OwnerRose:
+@message(tag="OwnerRose")
+class OwnerSuperseded:
     """An endpoint has an owner with a higher number than the hearer's."""
 
     endpoint: str
--- a/packages/core/src/knapweedbridge_core/owner_side.py
+++ b/packages/core/src/knapweedbridge_core/owner_side.py
@@ -49,7 +49,7 @@
             events.StoreReplied: self._store_replied,
             events.EndpointReported: self._endpoint_reported,
             messages.SlotsChanged: self._slots_changed,
-            messages.OwnerRose: self._owner_rose,
+            messages.OwnerSuperseded: self._owner_rose,
             messages.HeldGrantsRequest: self._grants_ask,
             messages.HandOver: self._hand_over_heard,
         }
@@ -236,7 +236,7 @@
     def _slots_changed(self, message: messages.SlotsChanged) -> None:
         self._raise(message.endpoint, message.number)
 
-    def _owner_rose(self, message: messages.OwnerRose) -> None:
+    def _owner_rose(self, message: messages.OwnerSuperseded) -> None:
         self._raise(message.endpoint, message.number)
 
     def _grants_ask(self, message: messages.HeldGrantsRequest) -> None:
@@ -247,7 +247,7 @@
             return
         tenure = self.tenures.get(endpoint)
         if tenure is not None and number < tenure.number:
-            rose = messages.OwnerRose(endpoint, tenure.number)
+            rose = messages.OwnerSuperseded(endpoint, tenure.number)
             self._context.send(self._context.sender, rose)
             return
         self._take_changes(self.owners.superseded(endpoint, number))
