--- a/features/prompt_parts/steps/ledger_steps.py
+++ b/features/prompt_parts/steps/ledger_steps.py
@@ -10,8 +10,8 @@
     LostCall,
     PartLedger,
     fingerprint,
-    refusal_keepers,
     refusal_mark,
+    refusal_publishers,
 )
 from knapweedbridge_core.serving.crash_parts import MOST_CALLS, MOST_SUSPECTS
 from knapweedbridge_daemon.serving.blame_notifier import BlameNotifier
@@ -274,5 +274,5 @@
     for daemon, message in pool.sent:
         for _, *parts in message.calls:
             marks = [refusal_mark((part,)) for part in parts]
-            kept = any(daemon in refusal_keepers(m, pool.keepers) for m in marks)
+            kept = any(daemon in refusal_publishers(m, pool.keepers) for m in marks)
             assert pool.is_small_pool or kept, (daemon, message)
--- a/packages/core/src/knapweedbridge_core/serving/__init__.py
+++ b/packages/core/src/knapweedbridge_core/serving/__init__.py
@@ -22,7 +22,7 @@
 from knapweedbridge_core.serving.brittle import RejectionBudget
 from knapweedbridge_core.serving.call_marks import (
     fingerprint,
-    refusal_keepers,
+    refusal_publishers,
     request_digest,
 )
 from knapweedbridge_core.serving.caller_wait import PendingRequest, UsualDeadlines
@@ -243,7 +243,7 @@
     "parse_model",
     "permit_keeper",
     "ranked",
-    "refusal_keepers",
+    "refusal_publishers",
     "refusal_mark",
     "relays",
     "resumes",
--- a/packages/core/src/knapweedbridge_core/serving/call_marks.py
+++ b/packages/core/src/knapweedbridge_core/serving/call_marks.py
@@ -40,7 +40,7 @@
     return mark.partition(SEPARATOR)[0]
 
 
-def refusal_keepers(mark: str, candidates: Mapping[str, Sequence[str]]) -> list[str]:
+def refusal_publishers(mark: str, candidates: Mapping[str, Sequence[str]]) -> list[str]:
     """Name the hosts that publish the refusal of a call, in the order in which they do.
 
     Parameters
--- a/packages/daemon/src/knapweedbridge_daemon/serving/blame_notifier.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/blame_notifier.py
@@ -6,8 +6,8 @@
 from knapweedbridge_core.serving import (
     LossFound,
     LostCall,
-    refusal_keepers,
     refusal_mark,
+    refusal_publishers,
 )
 from knapweedbridge_core.serving.blame_messages import (
     CallsBlamed,
@@ -48,7 +48,7 @@
 
     def keepers(self, mark: str) -> list[str]:
         """Return the hosts that publish a refusal, in the order in which they do."""
-        return refusal_keepers(mark, self._hub.cluster.keepers)
+        return refusal_publishers(mark, self._hub.cluster.keepers)
 
     async def notify_losses(self, found: Mapping[str, LossFound], cause: str) -> None:
         """Notify other hosts of what endpoints were lost with, and log it."""
--- a/packages/daemon/src/knapweedbridge_daemon/serving/refusal_records.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/refusal_records.py
@@ -2,7 +2,7 @@
 
 import anyio
 
-from knapweedbridge_core.serving import refusal_keepers, request_digest
+from knapweedbridge_core.serving import refusal_publishers, request_digest
 from knapweedbridge_daemon.errors import StoreError
 from knapweedbridge_daemon.serving.attempt_records import MARK_DIGITS
 from knapweedbridge_daemon.serving.hub import Hub
@@ -72,7 +72,7 @@
 
     def _turn_s(self, mark: str) -> float | None:
         """Return how long this host leaves a write to others; None: it writes none."""
-        keepers = refusal_keepers(mark, self._hub.cluster.keepers)
+        keepers = refusal_publishers(mark, self._hub.cluster.keepers)
         own = self._hub.identity.name
         return STEP_S * keepers.index(own) if own in keepers else None
 
