--- a/packages/core/src/knapweedbridge_core/configuration_messages.py
+++ b/packages/core/src/knapweedbridge_core/configuration_messages.py
@@ -5,8 +5,8 @@
 from knapweedbridge_core.codec import message
 
 
-@message
-class ConfigurationAsk:
+@message(tag="ConfigurationAsk")
+class ConfigurationRequest:
     """A daemon holds this generation and asks for the sender's."""
 
     generation: int
--- a/packages/core/src/knapweedbridge_core/configuration_responder.py
+++ b/packages/core/src/knapweedbridge_core/configuration_responder.py
@@ -47,7 +47,7 @@
         """Forget all changes, as none lead to what comes into force now."""
         self._steps.clear()
 
-    def send_changes(self, message: messages.ConfigurationAsk) -> None:
+    def send_changes(self, message: messages.ConfigurationRequest) -> None:
         """Answer with what changed since the asker's generation, or with the root."""
         held = root_of(self._context.configuration)
         if held.generation <= message.generation:
--- a/packages/core/src/knapweedbridge_core/configuration_side.py
+++ b/packages/core/src/knapweedbridge_core/configuration_side.py
@@ -60,7 +60,7 @@
             events.PartsRead: self._parts_read,
             events.RootSeen: self._root_seen,
             messages.Heartbeat: self._heartbeat,
-            messages.ConfigurationAsk: self._giver.send_changes,
+            messages.ConfigurationRequest: self._giver.send_changes,
             messages.ConfigurationChanged: self._changed,
             messages.ConfigurationRoot: self._root,
             messages.PartsAsk: self._giver.send_parts,
@@ -147,7 +147,7 @@
     def _begin(self, peer: str) -> None:
         self._fetch = _Fetch(peer, self._context.now_s)
         held = self._context.configuration
-        ask = messages.ConfigurationAsk(held.generation, held.token)
+        ask = messages.ConfigurationRequest(held.generation, held.token)
         self._context.send(peer, ask)
 
     def _heartbeat(self, message: messages.Heartbeat) -> None:
@@ -192,7 +192,7 @@
             # of the two is damaged: take whole parts, whose names are verified.
             self._context.record("configuration.changes_differ")
             self._context.send(
-                self._context.sender, messages.ConfigurationAsk(held.generation, "")
+                self._context.sender, messages.ConfigurationRequest(held.generation, "")
             )
             return
         configuration = change(
--- a/packages/core/src/knapweedbridge_core/messages.py
+++ b/packages/core/src/knapweedbridge_core/messages.py
@@ -13,8 +13,8 @@
     unpacker,
 )
 from knapweedbridge_core.configuration_messages import (
-    ConfigurationAsk,
     ConfigurationChanged,
+    ConfigurationRequest,
     ConfigurationRoot,
     PartsAsk,
     PartTold,
@@ -69,7 +69,7 @@
     "ClaimAsk",
     "ClaimEndKept",
     "ClaimEnded",
-    "ConfigurationAsk",
+    "ConfigurationRequest",
     "ConfigurationChanged",
     "ConfigurationRoot",
     "CountsTold",
