--- a/packages/core/src/knapweedbridge_core/serving/endpoint.py
+++ b/packages/core/src/knapweedbridge_core/serving/endpoint.py
@@ -58,7 +58,7 @@
     unread_tokens: int
 
 
-NOTHING_COUNTED = ReportedLoad(-math.inf, 0, 0)
+NO_REPORTED_LOAD = ReportedLoad(-math.inf, 0, 0)
 
 
 @dataclass(slots=True, eq=False)
@@ -241,7 +241,7 @@
     def take_load(self, message: EngineTold | EngineChanged, now_s: float) -> None:
         """Take the calls of other daemons and what else every telling holds."""
         self.told_number, self.told_order = message.number, message.order
-        own = self._counted_in(now_s) if message.of_all else NOTHING_COUNTED
+        own = self._counted_in(now_s) if message.of_all else NO_REPORTED_LOAD
         self.others_calls = max(0, message.others_calls - own.calls)
         self.others_unread_tokens = max(
             0, message.others_unread_tokens - own.unread_tokens
@@ -263,7 +263,7 @@
         for each in reversed(self.counted):
             if each.told_s <= now_s - COUNTED_AFTER_S:
                 return each
-        return NOTHING_COUNTED
+        return NO_REPORTED_LOAD
 
     def is_heard(self, now_s: float) -> bool:
         """Tell whether its owner told of it lately."""
