--- a/packages/core/src/knapweedbridge_core/holder_side.py
+++ b/packages/core/src/knapweedbridge_core/holder_side.py
@@ -104,7 +104,7 @@
             self._context.send(sender, messages.OwnerSuperseded(endpoint, highest))
             return
         self._intents[endpoint, model] = _Intent(number, self._context.now_s)
-        noted = messages.EvictionNoted(endpoint, model, number)
+        noted = messages.EvictionIntentAcknowledged(endpoint, model, number)
         self._context.send(sender, noted)
 
     def _eviction_over(self, message: messages.EvictionOver) -> None:
--- a/packages/core/src/knapweedbridge_core/messages.py
+++ b/packages/core/src/knapweedbridge_core/messages.py
@@ -53,7 +53,7 @@
 )
 from knapweedbridge_core.owner_messages import (
     EvictionIntent,
-    EvictionNoted,
+    EvictionIntentAcknowledged,
     EvictionOver,
     HandOver,
     HeldGrants,
@@ -74,7 +74,7 @@
     "ConfigurationRoot",
     "CountsTold",
     "EvictionIntent",
-    "EvictionNoted",
+    "EvictionIntentAcknowledged",
     "EvictionOver",
     "GrantRequest",
     "GrantGiven",
--- a/packages/core/src/knapweedbridge_core/order_side.py
+++ b/packages/core/src/knapweedbridge_core/order_side.py
@@ -27,7 +27,7 @@
             events.OrderEnded: self._order_ended,
             messages.LoadPlaced: self._load_placed,
             messages.SlotWanted: self._slot_wanted,
-            messages.EvictionNoted: self._eviction_noted,
+            messages.EvictionIntentAcknowledged: self._eviction_noted,
         }
 
     def _tick(self, event: events.Tick) -> None:
@@ -80,7 +80,7 @@
         ranked = sorted(peers, key=lambda name: rendezvous.score(endpoint, name))
         return ranked[-WITNESSES:]
 
-    def _eviction_noted(self, message: messages.EvictionNoted) -> None:
+    def _eviction_noted(self, message: messages.EvictionIntentAcknowledged) -> None:
         tenure = self._estate.tenures.get(message.endpoint)
         own = self._context.sender == self._context.host
         if tenure is None or own or tenure.number != message.number:
--- a/packages/core/src/knapweedbridge_core/owner_messages.py
+++ b/packages/core/src/knapweedbridge_core/owner_messages.py
@@ -51,8 +51,8 @@
     number: int
 
 
-@message
-class EvictionNoted:
+@message(tag="EvictionNoted")
+class EvictionIntentAcknowledged:
     """A witness will tell a later owner of the intent."""
 
     endpoint: str
