--- a/packages/core/src/knapweedbridge_core/serving/messages.py
+++ b/packages/core/src/knapweedbridge_core/serving/messages.py
@@ -5,8 +5,8 @@
 from knapweedbridge_core.codec import message
 
 
-@message
-class AdapterWanted:
+@message(tag="AdapterWanted")
+class AdapterRequest:
     """A daemon asks an engine's owner to load an adapter.
 
     Parameters
--- a/packages/daemon/src/knapweedbridge_daemon/serving/engine_owners.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/engine_owners.py
@@ -6,7 +6,7 @@
 from knapweedbridge_core.serving import ModelRef
 from knapweedbridge_core.serving.messages import (
     AdapterMissed,
-    AdapterWanted,
+    AdapterRequest,
     CallsRunning,
     EngineAsked,
     OwnershipEnded,
@@ -24,7 +24,7 @@
 from knapweedbridge_daemon.serving.permits import Permits
 
 ToOwner = (
-    AdapterWanted
+    AdapterRequest
     | AdapterMissed
     | CallsRunning
     | EngineAsked
@@ -127,7 +127,7 @@
         if isinstance(message, OwnershipEnded):
             owner.predecessor_ended(daemon, message.number)
             return
-        if isinstance(message, AdapterWanted):
+        if isinstance(message, AdapterRequest):
             model = ModelRef(message.base, message.adapter)
             owner.wanted(daemon, model, message.version)
         elif isinstance(message, TurnAsked):
