--- a/features/prompt_parts/steps/ledger_steps.py
+++ b/features/prompt_parts/steps/ledger_steps.py
@@ -173,8 +173,8 @@
         ledger.begun([f"p{number}"], NOW_S)
     context.newest = f"p{many - 1}"
     every = [f"p{number}" for number in range(many)]
-    context.kept = many - len(ledger.unsound(every, NOW_S))
-    assert not ledger.unsound([context.newest], NOW_S)
+    context.kept = many - len(ledger.unproven(every, NOW_S))
+    assert not ledger.unproven([context.newest], NOW_S)
 
 
 @when("{many:d} suspect parts were seen")
--- a/packages/core/src/knapweedbridge_core/serving/crash_parts.py
+++ b/packages/core/src/knapweedbridge_core/serving/crash_parts.py
@@ -116,14 +116,14 @@
             mark
             for mark in self._published
             if part in (of_mark := parts_refused(mark))
-            and not self.unsound(of_mark, now_s)
+            and not self.unproven(of_mark, now_s)
         ]
         for mark in marks:
             del self._published[mark]
         self.withdrawn.update(marks)
         return bool(marks)
 
-    def unsound(self, parts: Iterable[str], now_s: float) -> list[str]:
+    def unproven(self, parts: Iterable[str], now_s: float) -> list[str]:
         """Return the parts of which it is not known that they are sound."""
         return [
             part
@@ -141,7 +141,7 @@
         """
         sound: set[str] = set()
         for call in calls[:MOST_CALLS]:
-            parts = frozenset(self.unsound(call.parts, at_s))
+            parts = frozenset(self.unproven(call.parts, at_s))
             sound.update(set(call.parts) - parts)
             for part in parts:
                 suspect = self._suspects.setdefault(part, SuspectPart(parts))
@@ -168,12 +168,12 @@
         """Record that a host has a loss to judge that parts may have caused."""
         held = self._held.items()
         self._held = {part: end_s for part, end_s in held if end_s > now_s}
-        self._held |= dict.fromkeys(self.unsound(parts, now_s), until_s)
+        self._held |= dict.fromkeys(self.unproven(parts, now_s), until_s)
 
     def published(self, mark: str, for_s: float, now_s: float) -> None:
         """Record that the store says for how long prompts are refused."""
         parts = parts_refused(mark)
-        if self.unsound(parts, now_s):
+        if self.unproven(parts, now_s):
             self._published[mark] = now_s + for_s
         else:
             self.withdrawn.add(mark)
@@ -193,14 +193,14 @@
         lapsed = {part for mark in self._published for part in parts_refused(mark)}
         return [
             part
-            for part in self.unsound(parts, now_s)
+            for part in self.unproven(parts, now_s)
             if part in self._suspects or part in lapsed
         ]
 
     def waits_until_s(self, parts: Sequence[str], now_s: float) -> float:
         """Return until when a prompt waits for the judgement of a loss; 0.0: not."""
         until_s = 0.0
-        for part in self.unsound(parts, now_s):
+        for part in self.unproven(parts, now_s):
             until_s = max(until_s, self._held.get(part, 0.0))
             suspect = self._suspects.get(part)
             if suspect is not None and len(suspect.losses) == suspect.needed:
@@ -210,7 +210,7 @@
     def refused_for_s(self, parts: Sequence[str], now_s: float) -> float:
         """Return for how long a prompt with some parts is refused; 0.0: it may run."""
         for_s = self._published_for_s(parts, now_s)
-        for part in self.unsound(parts, now_s):
+        for part in self.unproven(parts, now_s):
             suspect = self._suspects.get(part)
             if suspect is not None and self._names(suspect, parts, now_s):
                 for_s = max(for_s, self._refused_for_s(part, suspect, now_s))
@@ -218,7 +218,7 @@
 
     def _names(self, suspect: SuspectPart, parts: Sequence[str], now_s: float) -> bool:
         """Return whether a prompt has all that the losses of a part have in common."""
-        return set(self.unsound(suspect.companions, now_s)) <= set(parts)
+        return set(self.unproven(suspect.companions, now_s)) <= set(parts)
 
     def _published_for_s(self, parts: Sequence[str], now_s: float) -> float:
         if not self._published:
@@ -295,7 +295,7 @@
             self._lapse(part, suspect, now_s)
             if not self._is_refused(part, suspect, now_s):
                 continue
-            mark = refusal_mark(self.unsound(suspect.companions, now_s))
+            mark = refusal_mark(self.unproven(suspect.companions, now_s))
             if self._published.get(mark, 0.0) <= now_s:
                 found[mark] = suspect.lapses_s - now_s
         return found
--- a/packages/core/src/knapweedbridge_core/serving/crashes.py
+++ b/packages/core/src/knapweedbridge_core/serving/crashes.py
@@ -112,7 +112,7 @@
             return
         found.marks.append(ending.fingerprint)
         self.told(ending.fingerprint, loss_id(ending.start), found.at_s)
-        parts = tuple(self.parts.unsound(ending.parts, now_s))
+        parts = tuple(self.parts.unproven(ending.parts, now_s))
         if parts and len(found.calls) < MOST_CALLS:
             call = LostCall(request_digest(ending.fingerprint), parts)
             found.calls.append(call)
@@ -127,13 +127,13 @@
 
     def awaits(self, mark: str, parts: Sequence[str], now_s: float) -> bool:
         """Return whether a loss is about to be judged that a call may have caused."""
-        unsound = set(self.parts.unsound(parts, now_s))
+        unproven = set(self.parts.unproven(parts, now_s))
         recent = takewhile(
             lambda each: now_s - each.at_s < JUDGED_S, reversed(self._endings)
         )
         is_open = any(
             each.is_awaited(now_s)
-            and (each.fingerprint == mark or not unsound.isdisjoint(each.parts))
+            and (each.fingerprint == mark or not unproven.isdisjoint(each.parts))
             for each in recent
         )
         if is_open or self.parts.waits_until_s(parts, now_s):
