--- a/packages/core/src/knapweedbridge_core/configuration_messages.py
+++ b/packages/core/src/knapweedbridge_core/configuration_messages.py
@@ -13,8 +13,8 @@
     token: str
 
 
-@message
-class ConfigurationChanged:
+@message(tag="ConfigurationChanged")
+class ConfigurationDelta:
     """The changes from the generation asked from to the sender's.
 
     Parameters
--- a/packages/core/src/knapweedbridge_core/configuration_responder.py
+++ b/packages/core/src/knapweedbridge_core/configuration_responder.py
@@ -57,7 +57,7 @@
             self._tell_root()
             return
         digests = {place: held.digests[place] for place in map(part_of, changes)}
-        told = messages.ConfigurationChanged(
+        told = messages.ConfigurationDelta(
             message.token, held.generation, held.token, digests, changes
         )
         self._context.send(self._context.sender, told)
--- a/packages/core/src/knapweedbridge_core/messages.py
+++ b/packages/core/src/knapweedbridge_core/messages.py
@@ -13,7 +13,7 @@
     unpacker,
 )
 from knapweedbridge_core.configuration_messages import (
-    ConfigurationChanged,
+    ConfigurationDelta,
     ConfigurationRequest,
     ConfigurationRoot,
     PartsAsk,
@@ -70,7 +70,7 @@
     "ClaimEndKept",
     "ClaimEnded",
     "ConfigurationRequest",
-    "ConfigurationChanged",
+    "ConfigurationDelta",
     "ConfigurationRoot",
     "CountsTold",
     "EvictionIntent",
