--- a/packages/core/src/knapweedbridge_core/serving/endpoint.py
+++ b/packages/core/src/knapweedbridge_core/serving/endpoint.py
@@ -28,7 +28,7 @@
 """An owner answers each question at once, over a way of some milliseconds; its lease
 outlives it by seconds, in which its engines would get no orders."""
 
-COUNTED_AFTER_S = 0.15
+REPORT_DELAY_S = 0.15
 """How long an owner's telling that goes to many is on its way by a relay: what a daemon
 told its owner later than that is not counted in it yet."""
 
@@ -261,7 +261,7 @@
     def _counted_in(self, now_s: float) -> ReportedLoad:
         """Return what a telling that comes now counts as this daemon's own."""
         for each in reversed(self.counted):
-            if each.told_s <= now_s - COUNTED_AFTER_S:
+            if each.told_s <= now_s - REPORT_DELAY_S:
                 return each
         return NO_REPORTED_LOAD
 
