--- a/packages/core/src/knapweedbridge_core/holder_side.py
+++ b/packages/core/src/knapweedbridge_core/holder_side.py
@@ -45,7 +45,7 @@
             messages.HeldGrantsRequest: self._grants_ask,
             messages.SlotsChanged: self._slots_changed,
             messages.EvictionIntent: self._eviction_intent,
-            messages.EvictionOver: self._eviction_over,
+            messages.EvictionFinished: self._eviction_over,
         }
 
     def _ask_sent(self, host: str, message: messages.GrantRequest) -> None:
@@ -107,7 +107,7 @@
         noted = messages.EvictionIntentAcknowledged(endpoint, model, number)
         self._context.send(sender, noted)
 
-    def _eviction_over(self, message: messages.EvictionOver) -> None:
+    def _eviction_over(self, message: messages.EvictionFinished) -> None:
         key = (message.endpoint, message.model)
         intent = self._intents.get(key)
         if intent is not None and intent.number <= message.number:
--- a/packages/core/src/knapweedbridge_core/messages.py
+++ b/packages/core/src/knapweedbridge_core/messages.py
@@ -52,9 +52,9 @@
     ProbeResponse,
 )
 from knapweedbridge_core.owner_messages import (
+    EvictionFinished,
     EvictionIntent,
     EvictionIntentAcknowledged,
-    EvictionOver,
     HandOver,
     HeldGrants,
     HeldGrantsRequest,
@@ -75,7 +75,7 @@
     "CountsTold",
     "EvictionIntent",
     "EvictionIntentAcknowledged",
-    "EvictionOver",
+    "EvictionFinished",
     "GrantRequest",
     "GrantGiven",
     "GrantRefused",
--- a/packages/core/src/knapweedbridge_core/order_side.py
+++ b/packages/core/src/knapweedbridge_core/order_side.py
@@ -107,7 +107,7 @@
     def _eviction_over(self, tenure: Tenure, victim: AdapterVersion) -> None:
         if tenure.checks_fencing:
             return
-        over = messages.EvictionOver(tenure.endpoint, victim, tenure.number)
+        over = messages.EvictionFinished(tenure.endpoint, victim, tenure.number)
         for host in (self._context.host, *self._witnesses(tenure.endpoint)):
             self._context.send(host, over)
 
--- a/packages/core/src/knapweedbridge_core/owner_messages.py
+++ b/packages/core/src/knapweedbridge_core/owner_messages.py
@@ -60,8 +60,8 @@
     number: int
 
 
-@message
-class EvictionOver:
+@message(tag="EvictionOver")
+class EvictionFinished:
     """The eviction ended, or was never ordered."""
 
     endpoint: str
