--- a/packages/core/src/knapweedbridge_core/serving/messages.py
+++ b/packages/core/src/knapweedbridge_core/serving/messages.py
@@ -68,8 +68,8 @@
     gaps: list[float] = field(default_factory=list)
 
 
-@message
-class TurnAsked:
+@message(tag="TurnAsked")
+class TurnRequest:
     """A daemon asks an engine's owner when it may send a prompt.
 
     Parameters
--- a/packages/daemon/src/knapweedbridge_daemon/serving/engine_owners.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/engine_owners.py
@@ -11,7 +11,7 @@
     EngineAsked,
     OwnershipEnded,
     OwnershipTaken,
-    TurnAsked,
+    TurnRequest,
 )
 from knapweedbridge_core.serving.ownership import OwnerRecord
 from knapweedbridge_daemon.serving.answer_signs import AnswerSigns
@@ -28,7 +28,7 @@
     | AdapterMissed
     | CallsRunning
     | EngineAsked
-    | TurnAsked
+    | TurnRequest
     | OwnershipTaken
     | OwnershipEnded
 )
@@ -130,7 +130,7 @@
         if isinstance(message, AdapterRequest):
             model = ModelRef(message.base, message.adapter)
             owner.wanted(daemon, model, message.version)
-        elif isinstance(message, TurnAsked):
+        elif isinstance(message, TurnRequest):
             await owner.turns.asked(daemon, message)
         elif isinstance(message, EngineAsked):
             await owner.asked_for_all(daemon)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/turn_giving.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/turn_giving.py
@@ -14,7 +14,7 @@
 )
 from knapweedbridge_core.serving.messages import (
     OwnerAnswered,
-    TurnAsked,
+    TurnRequest,
     TurnsGiven,
 )
 from knapweedbridge_core.serving.prompt_pacing import LongPrompts
@@ -65,7 +65,7 @@
             return NoPacing()
         return WindowPacing(gap_s, self._hub.rates.token_s(service))
 
-    async def asked(self, daemon: str, message: TurnAsked) -> None:
+    async def asked(self, daemon: str, message: TurnRequest) -> None:
         """Take a daemon's question, and answer it at once."""
         now_s = anyio.current_time()
         self._pacer.ask(
--- a/packages/daemon/src/knapweedbridge_daemon/serving/turns.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/turns.py
@@ -12,7 +12,7 @@
     PromptTurn,
     WindowPacing,
 )
-from knapweedbridge_core.serving.messages import TurnAsked, TurnsGiven
+from knapweedbridge_core.serving.messages import TurnRequest, TurnsGiven
 from knapweedbridge_core.serving.prompt_pacing import LONGEST_WAIT_S, passes_at_once
 from knapweedbridge_daemon.serving.hub import Hub, Send
 
@@ -68,7 +68,7 @@
         given = self._waiting[ticket] = anyio.Event()
         try:
             endpoint.record_owner_request(now_s)
-            asked = TurnAsked(endpoint.name, ticket, tokens, urgency)
+            asked = TurnRequest(endpoint.name, ticket, tokens, urgency)
             await self._send(endpoint.owner, asked)
             with anyio.move_on_after(ANSWER_S):
                 await given.wait()
