--- a/features/prompt_parts/steps/ledger_steps.py
+++ b/features/prompt_parts/steps/ledger_steps.py
@@ -131,7 +131,7 @@
         ledger.begun(["p"], NOW_S + 3)
         assert ledger.to_clear == {"p"}
     if when_begun == "at another host after":
-        ledger.cleared(["p"], NOW_S + 3)
+        ledger.record_safe(["p"], NOW_S + 3)
 
 
 @then("it is refused after that: {refused}")
--- a/packages/core/src/knapweedbridge_core/serving/crash_parts.py
+++ b/packages/core/src/knapweedbridge_core/serving/crash_parts.py
@@ -73,9 +73,9 @@
 
     def begun(self, parts: Iterable[str], now_s: float) -> None:
         """Record that an endpoint that stayed has begun an answer on some parts."""
-        self.to_clear.update(self.cleared(parts, now_s))
+        self.to_clear.update(self.record_safe(parts, now_s))
 
-    def cleared(self, parts: Iterable[str], now_s: float) -> list[str]:
+    def record_safe(self, parts: Iterable[str], now_s: float) -> list[str]:
         """Record that parts are sound, as seen here or by another host.
 
         Returns
--- a/packages/daemon/src/knapweedbridge_daemon/serving/crash_watch.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/crash_watch.py
@@ -330,5 +330,5 @@
     def _contradicted(self, message: PartsCleared, now_s: float) -> None:
         """Receive that parts are sound; those that were told of a loss are told so."""
         ledger = self._hub.crashes.parts
-        known = ledger.cleared(message.parts, now_s)
+        known = ledger.record_safe(message.parts, now_s)
         ledger.to_clear.update(part for part in known if part in self._accused_s)
