--- a/packages/core/src/knapweedbridge_core/configuration_messages.py
+++ b/packages/core/src/knapweedbridge_core/configuration_messages.py
@@ -41,8 +41,8 @@
     digests: list[str]
 
 
-@message
-class PartsAsk:
+@message(tag="PartsAsk")
+class PartsRequest:
     """Asks for parts by place; the token is the root's."""
 
     token: str
--- a/packages/core/src/knapweedbridge_core/configuration_responder.py
+++ b/packages/core/src/knapweedbridge_core/configuration_responder.py
@@ -79,7 +79,7 @@
         )
         self._context.send(self._context.sender, told)
 
-    def send_parts(self, message: messages.PartsAsk) -> None:
+    def send_parts(self, message: messages.PartsRequest) -> None:
         """Answer with parts, or with the root where the asker's is another."""
         held = self._context.configuration
         if message.token != held.token:
--- a/packages/core/src/knapweedbridge_core/configuration_side.py
+++ b/packages/core/src/knapweedbridge_core/configuration_side.py
@@ -63,7 +63,7 @@
             messages.ConfigurationRequest: self._giver.send_changes,
             messages.ConfigurationDelta: self._changed,
             messages.ConfigurationRoot: self._root,
-            messages.PartsAsk: self._giver.send_parts,
+            messages.PartsRequest: self._giver.send_parts,
             messages.PartTold: self._part_told,
         }
 
@@ -228,7 +228,9 @@
         if fetch.missing:
             places = fetch.missing[:MAX_PARTS_PER_REQUEST]
             fetch.in_flight = set(places)
-            self._context.send(fetch.peer, messages.PartsAsk(fetch.root.token, places))
+            self._context.send(
+                fetch.peer, messages.PartsRequest(fetch.root.token, places)
+            )
             return
         parts = self._context.configuration.parts.replaced(fetch.contents)
         self._take_parts(fetch.root, parts, fetch.peer)
--- a/packages/core/src/knapweedbridge_core/messages.py
+++ b/packages/core/src/knapweedbridge_core/messages.py
@@ -16,7 +16,7 @@
     ConfigurationDelta,
     ConfigurationRequest,
     ConfigurationRoot,
-    PartsAsk,
+    PartsRequest,
     PartTold,
 )
 from knapweedbridge_core.fault_messages import (
@@ -96,7 +96,7 @@
     "MemberList",
     "OwnerSuperseded",
     "PartTold",
-    "PartsAsk",
+    "PartsRequest",
     "ProbeRequest",
     "ProbeResponse",
     "IndirectProbeRequest",
