--- a/packages/core/src/knapweedbridge_core/serving/endpoint.py
+++ b/packages/core/src/knapweedbridge_core/serving/endpoint.py
@@ -32,7 +32,7 @@
 """How long an owner's telling that goes to many is on its way by a relay: what a daemon
 told its owner later than that is not counted in it yet."""
 
-COUNTS_KEPT = 4
+MAX_REPORTS_KEPT = 4
 """Own counts that are remembered: they are told some ten times a second at most."""
 
 FAILURE_HALF_LIFE_S = 3.0
@@ -137,7 +137,7 @@
     told_number: int = 0
     told_order: int = 0
     counted: deque[ReportedLoad] = field(
-        default_factory=lambda: deque(maxlen=COUNTS_KEPT)
+        default_factory=lambda: deque(maxlen=MAX_REPORTS_KEPT)
     )
 
     @property
