--- a/bench/placement_model.py
+++ b/bench/placement_model.py
@@ -15,7 +15,7 @@
 from knapweedbridge_core.configuration import EndpointEntry
 from knapweedbridge_core.forecast import Forecast
 from knapweedbridge_core.loads import LoadOrder, Pool
-from knapweedbridge_core.messages import SlotsChanged
+from knapweedbridge_core.messages import EndpointUpdate
 from knapweedbridge_core.names import AdapterVersion
 from knapweedbridge_core.placement import Holder, Placement
 from knapweedbridge_core.queueing import Asker
@@ -368,7 +368,7 @@
         """Let the core see what an engine holds and runs."""
         name = engine.entry.name
         loaded = list(engine.loaded)
-        self.pool.view.changed(SlotsChanged(name, "h", 1, loaded, engine.running))
+        self.pool.view.changed(EndpointUpdate(name, "h", 1, loaded, engine.running))
 
     def _publish_running(self, engine: Engine) -> None:
         self.pool.view.endpoints[engine.entry.name].running = engine.running
--- a/features/attempts/steps/core_steps.py
+++ b/features/attempts/steps/core_steps.py
@@ -62,7 +62,7 @@
     def owned_by(self, owner, number):
         self.number = number
         for name in ENGINES:
-            self.hear(owner, messages.SlotsChanged(name, owner, number, [MODEL], 0))
+            self.hear(owner, messages.EndpointUpdate(name, owner, number, [MODEL], 0))
 
     def tell(self, event):
         self.actions += self.bridge.handle(event, self.now_s)
@@ -171,7 +171,7 @@
 @when("its adapter is held nowhere any more")
 def held_nowhere(context):
     for name in ENGINES:
-        emptied = messages.SlotsChanged(name, "host-1", 1, [], 0)
+        emptied = messages.EndpointUpdate(name, "host-1", 1, [], 0)
         context.core.hear("host-1", emptied)
 
 
--- a/features/placement/steps/load_steps.py
+++ b/features/placement/steps/load_steps.py
@@ -2,7 +2,7 @@
 
 from knapweedbridge_core.configuration import EndpointEntry
 from knapweedbridge_core.loads import LoadOrder, Pool
-from knapweedbridge_core.messages import SlotsChanged
+from knapweedbridge_core.messages import EndpointUpdate
 from knapweedbridge_core.names import AdapterVersion
 from knapweedbridge_core.policy import PlacementPolicy
 from knapweedbridge_core.queueing import Asker
@@ -32,7 +32,7 @@
         self.order = LoadOrder("host-0", PlacementPolicy(**settings))
 
     def holds(self, name, models):
-        self.pool.view.changed(SlotsChanged(name, "o", 1, models, 0))
+        self.pool.view.changed(EndpointUpdate(name, "o", 1, models, 0))
 
     def wanted(self, name, waiters=1, host="host-1", left_s=60.0):
         deadline_s = self.now_s + left_s
--- a/packages/core/src/knapweedbridge_core/estate.py
+++ b/packages/core/src/knapweedbridge_core/estate.py
@@ -2,7 +2,7 @@
 
 from knapweedbridge_core.context import Context, Side
 from knapweedbridge_core.leases import DaemonLease
-from knapweedbridge_core.messages import SlotsChanged
+from knapweedbridge_core.messages import EndpointUpdate
 from knapweedbridge_core.names import AdapterVersion
 from knapweedbridge_core.owners import Owners
 from knapweedbridge_core.tenure import Tenure
@@ -116,7 +116,7 @@
         loaded, running = self.grantable(tenure), tenure.ledger.running
         tenure.published, tenure.published_running = loaded, running
         tenure.published_s = self._context.now_s
-        message = SlotsChanged(
+        message = EndpointUpdate(
             tenure.endpoint, self._context.host, tenure.number, loaded, running
         )
         for peer in self._context.members.peers():
--- a/packages/core/src/knapweedbridge_core/holder_side.py
+++ b/packages/core/src/knapweedbridge_core/holder_side.py
@@ -43,7 +43,7 @@
             events.Tick: self._tick,
             messages.GrantRefused: self._grant_refused,
             messages.HeldGrantsRequest: self._grants_ask,
-            messages.SlotsChanged: self._slots_changed,
+            messages.EndpointUpdate: self._slots_changed,
             messages.EvictionIntent: self._eviction_intent,
             messages.EvictionFinished: self._eviction_over,
         }
@@ -60,7 +60,7 @@
     def _grant_refused(self, message: messages.GrantRefused) -> None:
         self._held.pop(message.attempt_id, None)
 
-    def _slots_changed(self, message: messages.SlotsChanged) -> None:
+    def _slots_changed(self, message: messages.EndpointUpdate) -> None:
         self._note_owner(message.endpoint, message.owner, message.number)
 
     def _note_owner(self, endpoint: str, owner: str, number: int) -> None:
--- a/packages/core/src/knapweedbridge_core/messages.py
+++ b/packages/core/src/knapweedbridge_core/messages.py
@@ -52,6 +52,7 @@
     ProbeResponse,
 )
 from knapweedbridge_core.owner_messages import (
+    EndpointUpdate,
     EvictionFinished,
     EvictionIntent,
     EvictionIntentAcknowledged,
@@ -59,7 +60,6 @@
     HeldGrants,
     HeldGrantsRequest,
     OwnerSuperseded,
-    SlotsChanged,
 )
 
 __all__ = [
@@ -103,7 +103,7 @@
     "IndirectProbeResponse",
     "SlotDeclined",
     "SlotWanted",
-    "SlotsChanged",
+    "EndpointUpdate",
     "UsesTold",
     "decode",
     "encode",
--- a/packages/core/src/knapweedbridge_core/owner_messages.py
+++ b/packages/core/src/knapweedbridge_core/owner_messages.py
@@ -4,8 +4,8 @@
 from knapweedbridge_core.names import AdapterVersion
 
 
-@message
-class SlotsChanged:
+@message(tag="SlotsChanged")
+class EndpointUpdate:
     """An owner tells what an endpoint of its own holds and runs."""
 
     endpoint: str
--- a/packages/core/src/knapweedbridge_core/owner_side.py
+++ b/packages/core/src/knapweedbridge_core/owner_side.py
@@ -48,7 +48,7 @@
             events.PeerMessage: self._peer_heard,
             events.StoreReplied: self._store_replied,
             events.EndpointReported: self._endpoint_reported,
-            messages.SlotsChanged: self._slots_changed,
+            messages.EndpointUpdate: self._slots_changed,
             messages.OwnerSuperseded: self._owner_rose,
             messages.HeldGrantsRequest: self._grants_ask,
             messages.HandOver: self._hand_over_heard,
@@ -233,7 +233,7 @@
         for tenure in self.tenures.values():
             tenure.published_s = -inf
 
-    def _slots_changed(self, message: messages.SlotsChanged) -> None:
+    def _slots_changed(self, message: messages.EndpointUpdate) -> None:
         self._raise(message.endpoint, message.number)
 
     def _owner_rose(self, message: messages.OwnerSuperseded) -> None:
--- a/packages/core/src/knapweedbridge_core/request_side.py
+++ b/packages/core/src/knapweedbridge_core/request_side.py
@@ -46,7 +46,7 @@
             events.EndpointProbed: self._endpoint_probed,
             messages.GrantGiven: self._grant_given,
             messages.GrantRefused: self._grant_refused,
-            messages.SlotsChanged: self._slots_changed,
+            messages.EndpointUpdate: self._slots_changed,
         }
 
     def _tick(self, event: events.Tick) -> None:
@@ -380,7 +380,7 @@
             reason=word,
         )
 
-    def _slots_changed(self, message: messages.SlotsChanged) -> None:
+    def _slots_changed(self, message: messages.EndpointUpdate) -> None:
         self._context.view.changed(message)
         loaded = set(message.loaded)
         for live in list(self.live.values()):
