--- a/packages/core/src/knapweedbridge_core/serving/messages.py
+++ b/packages/core/src/knapweedbridge_core/serving/messages.py
@@ -88,8 +88,8 @@
     urgency: int
 
 
-@message
-class TurnsGiven:
+@message(tag="TurnsGiven")
+class TurnGrant:
     """An owner lets a daemon send some prompts."""
 
     endpoint: str
--- a/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
@@ -18,7 +18,7 @@
     ShareGiven,
     StoreMarked,
     StoreTold,
-    TurnsGiven,
+    TurnGrant,
 )
 from knapweedbridge_daemon.peer_sockets import PeerListener
 from knapweedbridge_daemon.peers import Peers
@@ -84,7 +84,7 @@
         takers: dict[type, Callable[[str, Any], Awaitable[None]]] = {
             EngineTold: self._take_of_owner,
             EngineChanged: self._take_of_owner,
-            TurnsGiven: self._take_turns,
+            TurnGrant: self._take_turns,
             OwnerAnswered: self._take_answered,
         }
         takers |= dict.fromkeys((ShareAsked, ShareGiven), self.shares.heard)
@@ -155,7 +155,7 @@
         if take is not None:
             await take(daemon, message)
 
-    async def _take_turns(self, daemon: str, message: TurnsGiven) -> None:
+    async def _take_turns(self, daemon: str, message: TurnGrant) -> None:
         self.turns.given(message)
 
     async def _take_of_owner(
--- a/packages/daemon/src/knapweedbridge_daemon/serving/turn_giving.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/turn_giving.py
@@ -14,8 +14,8 @@
 )
 from knapweedbridge_core.serving.messages import (
     OwnerAnswered,
+    TurnGrant,
     TurnRequest,
-    TurnsGiven,
 )
 from knapweedbridge_core.serving.prompt_pacing import LongPrompts
 from knapweedbridge_daemon.serving.hub import Hub, Send
@@ -125,5 +125,5 @@
             self._long_prompts.note(turn.tokens, now_s)
             by_daemon.setdefault(turn.daemon, []).append(turn.ticket)
         for daemon, tickets in by_daemon.items():
-            await self._send(daemon, TurnsGiven(self._endpoint.name, tickets))
+            await self._send(daemon, TurnGrant(self._endpoint.name, tickets))
         return asker in by_daemon
--- a/packages/daemon/src/knapweedbridge_daemon/serving/turns.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/turns.py
@@ -12,7 +12,7 @@
     PromptTurn,
     WindowPacing,
 )
-from knapweedbridge_core.serving.messages import TurnRequest, TurnsGiven
+from knapweedbridge_core.serving.messages import TurnGrant, TurnRequest
 from knapweedbridge_core.serving.prompt_pacing import LONGEST_WAIT_S, passes_at_once
 from knapweedbridge_daemon.serving.hub import Hub, Send
 
@@ -116,7 +116,7 @@
         pacer.token_s = token_s
         return pacer
 
-    def given(self, message: TurnsGiven) -> None:
+    def given(self, message: TurnGrant) -> None:
         """Take the turns that an owner gave."""
         endpoint = self._hub.cluster.fleet.endpoints.get(message.endpoint)
         if endpoint is not None:
