--- a/features/prompt_parts/steps/ledger_steps.py
+++ b/features/prompt_parts/steps/ledger_steps.py
@@ -148,7 +148,7 @@
     ledger.turn_of = lambda mark: turn
     context.lost_s = []
     for now_s in range(10_000):
-        if not ledger.refused_for_s(("p",), now_s) and not ledger.waits_until_s(
+        if not ledger.refused_for_s(("p",), now_s) and not ledger.verdict_due_s(
             ("p",), now_s
         ):
             lose(ledger, len(context.lost_s), now_s)
--- a/packages/core/src/knapweedbridge_core/serving/crash_parts.py
+++ b/packages/core/src/knapweedbridge_core/serving/crash_parts.py
@@ -197,7 +197,7 @@
             if part in self._suspects or part in lapsed
         ]
 
-    def waits_until_s(self, parts: Sequence[str], now_s: float) -> float:
+    def verdict_due_s(self, parts: Sequence[str], now_s: float) -> float:
         """Return until when a prompt waits for the judgement of a loss; 0.0: not."""
         until_s = 0.0
         for part in self.unproven(parts, now_s):
--- a/packages/core/src/knapweedbridge_core/serving/crashes.py
+++ b/packages/core/src/knapweedbridge_core/serving/crashes.py
@@ -136,7 +136,7 @@
             and (each.fingerprint == mark or not unproven.isdisjoint(each.parts))
             for each in recent
         )
-        if is_open or self.parts.waits_until_s(parts, now_s):
+        if is_open or self.parts.verdict_due_s(parts, now_s):
             return True
         marks = mark, request_digest(mark)
         return any(self._held.get(each, 0.0) > now_s for each in marks) or not all(
