--- a/packages/core/src/knapweedbridge_core/configuration_messages.py
+++ b/packages/core/src/knapweedbridge_core/configuration_messages.py
@@ -49,8 +49,8 @@
     places: list[int]
 
 
-@message
-class PartTold:
+@message(tag="PartTold")
+class PartResponse:
     """One part of a root."""
 
     token: str
--- a/packages/core/src/knapweedbridge_core/configuration_responder.py
+++ b/packages/core/src/knapweedbridge_core/configuration_responder.py
@@ -86,5 +86,5 @@
             self._tell_root()
             return
         for place in message.places[:MAX_PARTS_PER_REQUEST]:
-            told = messages.PartTold(held.token, place, held.parts.content(place))
+            told = messages.PartResponse(held.token, place, held.parts.content(place))
             self._context.send(self._context.sender, told)
--- a/packages/core/src/knapweedbridge_core/configuration_side.py
+++ b/packages/core/src/knapweedbridge_core/configuration_side.py
@@ -64,7 +64,7 @@
             messages.ConfigurationDelta: self._changed,
             messages.ConfigurationRoot: self._root,
             messages.PartsRequest: self._giver.send_parts,
-            messages.PartTold: self._part_told,
+            messages.PartResponse: self._part_told,
         }
 
     @property
@@ -235,7 +235,7 @@
         parts = self._context.configuration.parts.replaced(fetch.contents)
         self._take_parts(fetch.root, parts, fetch.peer)
 
-    def _part_told(self, message: messages.PartTold) -> None:
+    def _part_told(self, message: messages.PartResponse) -> None:
         fetch = self._fetch
         if fetch is None or message.token != fetch.root.token:
             return
--- a/packages/core/src/knapweedbridge_core/messages.py
+++ b/packages/core/src/knapweedbridge_core/messages.py
@@ -16,8 +16,8 @@
     ConfigurationDelta,
     ConfigurationRequest,
     ConfigurationRoot,
+    PartResponse,
     PartsRequest,
-    PartTold,
 )
 from knapweedbridge_core.fault_messages import (
     BlameCleared,
@@ -95,7 +95,7 @@
     "MembersRequest",
     "MemberList",
     "OwnerSuperseded",
-    "PartTold",
+    "PartResponse",
     "PartsRequest",
     "ProbeRequest",
     "ProbeResponse",
--- a/packages/standins/src/knapweedbridge_standins/configuration_history.py
+++ b/packages/standins/src/knapweedbridge_standins/configuration_history.py
@@ -14,7 +14,7 @@
 from knapweedbridge_core import Bridge, events
 from knapweedbridge_core.actions import Record, SendPeer
 from knapweedbridge_core.configuration import build_parts
-from knapweedbridge_core.messages import PartTold
+from knapweedbridge_core.messages import PartResponse
 from knapweedbridge_core.parts import Parts, Root, Sections, pack_part
 from knapweedbridge_daemon.configurations import (
     ROOT_KEY,
@@ -118,7 +118,7 @@
         raise AssertionError("the messages never end")
 
     def _damaged(self, message: Any) -> Any:
-        if not self.parts_to_damage or not isinstance(message, PartTold):
+        if not self.parts_to_damage or not isinstance(message, PartResponse):
             return message
         self.parts_to_damage -= 1
         return replace(message, content=DAMAGED)
