--- a/packages/core/src/knapweedbridge_core/serving/endpoint.py
+++ b/packages/core/src/knapweedbridge_core/serving/endpoint.py
@@ -201,7 +201,7 @@
             return 0
         return sum(held.ready_s > now_s for held in self.held.values())
 
-    def take_held(self, held: dict[ModelRef, HeldAdapter]) -> None:
+    def replace_adapters(self, held: dict[ModelRef, HeldAdapter]) -> None:
         """Take what it holds now; what it held before stays in its memory."""
         for model in self.held:
             if model not in held:
--- a/packages/core/src/knapweedbridge_core/serving/fleet.py
+++ b/packages/core/src/knapweedbridge_core/serving/fleet.py
@@ -60,7 +60,7 @@
             # An owner's word is newer: the list is up to 2 s old, and does not say
             # when a load is done. Without it the list is all there is.
             endpoint.bases = set(record.bases)
-            endpoint.take_held(
+            endpoint.replace_adapters(
                 {
                     model: HeldAdapter(version, now_s)
                     for model, version in record.adapters.items()
@@ -163,7 +163,7 @@
         endpoint = self._of_start(message, now_s)
         if endpoint is None or not endpoint.is_new(message):
             return None
-        endpoint.take_held(
+        endpoint.replace_adapters(
             {
                 ModelRef(base, adapter): HeldAdapter(
                     version, now_s + ready_in_s, users, now_s - idle_s
