--- a/packages/core/src/knapweedbridge_core/serving/messages.py
+++ b/packages/core/src/knapweedbridge_core/serving/messages.py
@@ -189,8 +189,8 @@
     speed: float = 0.0
 
 
-@message
-class OwnerAnswered:
+@message(tag="OwnerAnswered")
+class OwnerAck:
     """An owner has heard a daemon's wish; nothing else changed."""
 
     endpoint: str
--- a/packages/daemon/src/knapweedbridge_daemon/serving/engine_owning.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/engine_owning.py
@@ -20,7 +20,7 @@
 from knapweedbridge_core.serving.engine_teller import TELL_LOAD_S, TELL_STILL_S
 from knapweedbridge_core.serving.messages import (
     CallsRunning,
-    OwnerAnswered,
+    OwnerAck,
     OwnershipTaken,
 )
 from knapweedbridge_core.serving.ownership import OwnerRecord
@@ -373,5 +373,5 @@
             askers.discard(telling.daemon)
             await self._send(telling.daemon, telling.message)
         for daemon in askers:
-            answered = OwnerAnswered(self.endpoint.name, self.number)
+            answered = OwnerAck(self.endpoint.name, self.number)
             await self._send(daemon, answered)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
@@ -12,7 +12,7 @@
     EngineAsked,
     EngineChanged,
     EngineTold,
-    OwnerAnswered,
+    OwnerAck,
     RelayAsked,
     ShareAsked,
     ShareGiven,
@@ -85,7 +85,7 @@
             EngineTold: self._take_of_owner,
             EngineChanged: self._take_of_owner,
             TurnGrant: self._take_turns,
-            OwnerAnswered: self._take_answered,
+            OwnerAck: self._take_answered,
         }
         takers |= dict.fromkeys((ShareAsked, ShareGiven), self.shares.heard)
         takers |= dict.fromkeys(get_args(OfLosses), self.crashes.heard)
@@ -267,7 +267,7 @@
             endpoint.asked_all_s = now_s
             await self.send(owner, EngineAsked(endpoint.name))
 
-    async def _take_answered(self, daemon: str, message: OwnerAnswered) -> None:
+    async def _take_answered(self, daemon: str, message: OwnerAck) -> None:
         endpoint = self._hub.cluster.fleet.endpoints.get(message.endpoint)
         if endpoint is not None:
             endpoint.asked_s = None
--- a/packages/daemon/src/knapweedbridge_daemon/serving/turn_giving.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/turn_giving.py
@@ -13,7 +13,7 @@
     WindowPacing,
 )
 from knapweedbridge_core.serving.messages import (
-    OwnerAnswered,
+    OwnerAck,
     TurnGrant,
     TurnRequest,
 )
@@ -72,7 +72,7 @@
             PromptTurn(daemon, message.ticket, message.tokens, message.urgency, now_s)
         )
         if not await self._give(now_s, daemon):
-            await self._send(daemon, OwnerAnswered(self._endpoint.name, self._number))
+            await self._send(daemon, OwnerAck(self._endpoint.name, self._number))
             self._asked.set()
 
     def sent(self, tokens: int) -> None:
