--- a/features/prompt_parts/steps/ledger_steps.py
+++ b/features/prompt_parts/steps/ledger_steps.py
@@ -64,7 +64,7 @@
         is_closed = "reset" in before
         ledger.ended(other, start, at_s - ago_s, (), at_s - 4, is_closed)
         if "alive" in before:
-            ledger.lived(start, at_s - ago_s / 2)
+            ledger.record_alive(start, at_s - ago_s / 2)
         ledger.ended(MARK, start, at_s, sent_s=at_s - 0.1)
         ledger.lost(start, at_s + 0.01)
 
--- a/packages/core/src/knapweedbridge_core/serving/crashes.py
+++ b/packages/core/src/knapweedbridge_core/serving/crashes.py
@@ -159,7 +159,7 @@
         own = (asked,) if self._blame.knows(asked) else ()
         return own + tuple(self.parts.suspected(parts, now_s))
 
-    def lived(self, start: EndpointStart, by_s: float) -> None:
+    def record_alive(self, start: EndpointStart, by_s: float) -> None:
         """Record that an endpoint runs on, although calls ended there by a moment."""
         for each in self._endings:
             if each.start.may_be(start) and each.at_s <= by_s:
--- a/packages/daemon/src/knapweedbridge_daemon/serving/crash_watch.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/crash_watch.py
@@ -247,7 +247,7 @@
 
     def _note_lives(self, endpoint: Endpoint) -> None:
         """Let calls go on that waited for the judgement of an endpoint's loss."""
-        self._hub.crashes.lived(endpoint.start, loop_time_s())
+        self._hub.crashes.record_alive(endpoint.start, loop_time_s())
         self._hub.losses_changed.tell()
 
     async def endpoint_unlisted(self, endpoint: str) -> None:
