--- a/bench/mutants_configuration.py
+++ b/bench/mutants_configuration.py
@@ -39,7 +39,7 @@
 )
 LOWER_CHANGES = rewritten(
     SIDE,
-    "_changed",
+    "_apply_delta",
     ("message.generation > held.generation", "message.generation != held.generation"),
 )
 NO_WHOLE_CHECK = rewritten(
@@ -75,14 +75,14 @@
     ),
     "part not verified by its hash": UNVERIFIED,
     "part not verified, nor the whole against its root": [*UNVERIFIED, NO_WHOLE_CHECK],
-    "gap in deltas not noticed: base": [rewritten(SIDE, "_changed", NO_BASE)],
-    "gap in deltas not noticed: result": [rewritten(SIDE, "_changed", NO_RESULT)],
+    "gap in deltas not noticed: base": [rewritten(SIDE, "_apply_delta", NO_BASE)],
+    "gap in deltas not noticed: result": [rewritten(SIDE, "_apply_delta", NO_RESULT)],
     "gap in deltas not noticed: base and result": [
-        rewritten(SIDE, "_changed", NO_BASE, NO_RESULT)
+        rewritten(SIDE, "_apply_delta", NO_BASE, NO_RESULT)
     ],
     "only the last delta sent, and the result not compared": [
         rewritten(GIVER, "_changes_since", LAST_DELTA),
-        rewritten(SIDE, "_changed", NO_RESULT),
+        rewritten(SIDE, "_apply_delta", NO_RESULT),
     ],
     "only the last delta sent": [
         rewritten(
--- a/packages/core/src/knapweedbridge_core/configuration_side.py
+++ b/packages/core/src/knapweedbridge_core/configuration_side.py
@@ -61,7 +61,7 @@
             events.RootSeen: self._root_seen,
             messages.Heartbeat: self._heartbeat,
             messages.ConfigurationRequest: self._giver.send_changes,
-            messages.ConfigurationDelta: self._changed,
+            messages.ConfigurationDelta: self._apply_delta,
             messages.ConfigurationRoot: self._root,
             messages.PartsRequest: self._giver.send_parts,
             messages.PartResponse: self._part_told,
@@ -181,7 +181,7 @@
         elif root.generation == held.generation and root.token != held.token:
             self._context.record("configuration.service_differs", **fields)
 
-    def _changed(self, message: messages.ConfigurationDelta) -> None:
+    def _apply_delta(self, message: messages.ConfigurationDelta) -> None:
         held = self._context.configuration
         newer = message.generation > held.generation
         if not newer or message.base_token != held.token:
