--- a/packages/core/src/knapweedbridge_core/serving/endpoint.py
+++ b/packages/core/src/knapweedbridge_core/serving/endpoint.py
@@ -211,7 +211,7 @@
         self.held = held
         self.coming_until_s = max((each.ready_s for each in held.values()), default=0.0)
 
-    def drop_held(self, model: ModelRef) -> None:
+    def remove_adapter(self, model: ModelRef) -> None:
         """Take that it holds an adapter no more, but in its memory."""
         if self.held.pop(model, None) is not None:
             self.recent.add(model)
--- a/packages/core/src/knapweedbridge_core/serving/fleet.py
+++ b/packages/core/src/knapweedbridge_core/serving/fleet.py
@@ -227,7 +227,7 @@
         if endpoint is None or not endpoint.is_next(message):
             return False
         for base, adapter in message.removed:
-            endpoint.drop_held(ModelRef(base, adapter))
+            endpoint.remove_adapter(ModelRef(base, adapter))
         for base, adapter, version, ready_in_s in message.added:
             endpoint.add_held(ModelRef(base, adapter), version, now_s, ready_in_s)
         endpoint.take_load(message, now_s)
