--- a/packages/core/src/knapweedbridge_core/blame_side.py
+++ b/packages/core/src/knapweedbridge_core/blame_side.py
@@ -89,7 +89,7 @@
             inquest.later.append(charge)
             return
         self._inquests[endpoint] = Inquest([charge])
-        self._context.do(ProbeEndpoint(endpoint, entry.address, entry.kind))
+        self._context.emit(ProbeEndpoint(endpoint, entry.address, entry.kind))
 
     def _probed(self, event: events.EndpointProbed) -> None:
         inquest = self._inquests.pop(event.endpoint, None)
@@ -103,7 +103,7 @@
         if inquest.later and entry is not None:
             self._inquests[event.endpoint] = Inquest(inquest.later)
             probe = ProbeEndpoint(event.endpoint, entry.address, entry.kind)
-            self._context.do(probe)
+            self._context.emit(probe)
 
     def _settle(self, charge: Charge, event: events.EndpointProbed) -> None:
         # A restarted engine is cold. An engine that still holds the adapter
@@ -125,7 +125,7 @@
         self._context.record(
             f"blame.{state.value}", fingerprint=fingerprint, endpoint=endpoint
         )
-        self._context.do(Count(f"blame.{state.value}"))
+        self._context.emit(Count(f"blame.{state.value}"))
 
     def _told(self, message: messages.BlameTold) -> None:
         state = LossState(message.state)
--- a/packages/core/src/knapweedbridge_core/claim_keeper.py
+++ b/packages/core/src/knapweedbridge_core/claim_keeper.py
@@ -102,7 +102,7 @@
         left_s = self._wrote_s + WRITE_EVERY_S - self._context.now_s
         if left_s > 0:
             self._timed = True
-            self._context.do(ClaimTimer(left_s))
+            self._context.emit(ClaimTimer(left_s))
             return
         keys: set[str] = set()
         for named, wish in list(self._waiting.items()):
@@ -118,14 +118,14 @@
         unread = tuple(wish.key for wish in self._batch if wish.revision is None)
         if unread:
             self._token = f"claims-read:{self._count}"
-            self._context.do(StoreRead(self._token, unread))
+            self._context.emit(StoreRead(self._token, unread))
             return
         self._token = f"claims-write:{self._count}"
         compares = {wish.key: wish.revision or 0 for wish in self._batch}
         puts = {wish.key: wish.packed for wish in self._batch}
-        self._context.do(Count("claim.writes"))
-        self._context.do(Count("claim.written", len(puts)))
-        self._context.do(ClaimWrite(self._token, compares, puts))
+        self._context.emit(Count("claim.writes"))
+        self._context.emit(Count("claim.written", len(puts)))
+        self._context.emit(ClaimWrite(self._token, compares, puts))
 
     def _replied(self, event: events.StoreReplied) -> None:
         if event.token != self._token or not self._batch:
--- a/packages/core/src/knapweedbridge_core/context.py
+++ b/packages/core/src/knapweedbridge_core/context.py
@@ -90,7 +90,7 @@
         self.dispatch(message)
         self.sender = outer
 
-    def do(self, action: Action) -> None:
+    def emit(self, action: Action) -> None:
         """Ask the shell for an action."""
         self._actions.append(action)
 
@@ -105,16 +105,16 @@
         if host == self.host:
             self.receive(self.host, message)
         else:
-            self.do(SendPeer(host, message))
+            self.emit(SendPeer(host, message))
 
     def broadcast(self, message: Any) -> None:
         """Send a message to every peer with a stream."""
         for peer in self.members.peers():
-            self.do(SendPeer(peer.name, message))
+            self.emit(SendPeer(peer.name, message))
 
     def record(self, kind: str, **fields: Any) -> None:
         """Add an event to the time line."""
-        self.do(Record(kind, fields))
+        self.emit(Record(kind, fields))
 
     def engines(self) -> list[EndpointEntry]:
         """Return the model engines that are not leaving."""
--- a/packages/core/src/knapweedbridge_core/grant_returns.py
+++ b/packages/core/src/knapweedbridge_core/grant_returns.py
@@ -58,7 +58,7 @@
         entry = self._context.configuration.endpoints.get(live.endpoint)
         if maybe_running and live.dispatched and entry is not None:
             self._cancelling[live.attempt_id] = held
-            self._context.do(CancelAttempt(live.attempt_id, entry.address))
+            self._context.emit(CancelAttempt(live.attempt_id, entry.address))
             return
         if not live.dispatched:
             # The stream to the owner may drop this return and yet the owner
@@ -75,7 +75,7 @@
             del self._cancelling[event.attempt_id]
             held.give_back(self._context)
         else:
-            self._context.do(Count("attempt.cancel_failed"))
+            self._context.emit(Count("attempt.cancel_failed"))
 
     def cancel_again(self) -> None:
         """Send the cancels again that no endpoint confirmed, up to a bound."""
@@ -89,7 +89,7 @@
                 held.give_back(self._context)
             elif now_s - held.asked_s >= CANCEL_AGAIN_S:
                 held.asked_s = now_s
-                self._context.do(CancelAttempt(attempt_id, entry.address))
+                self._context.emit(CancelAttempt(attempt_id, entry.address))
 
     def pop_unanswered(self, attempt_id: str) -> _HeldGrant | None:
         """Remove and return a grant given back before its owner answered."""
--- a/packages/core/src/knapweedbridge_core/grant_side.py
+++ b/packages/core/src/knapweedbridge_core/grant_side.py
@@ -155,7 +155,7 @@
             return
         self._polled_s[host] = now_s
         key = (LIVENESS_PREFIX + host,)
-        self._context.do(StoreRead(f"{LIFE_TOKEN}:{host}", key))
+        self._context.emit(StoreRead(f"{LIFE_TOKEN}:{host}", key))
 
     def _store_replied(self, event: events.StoreReplied) -> None:
         kind, _, host = event.token.partition(":")
--- a/packages/core/src/knapweedbridge_core/leaving_side.py
+++ b/packages/core/src/knapweedbridge_core/leaving_side.py
@@ -43,7 +43,7 @@
             if self._context.now_s - last_s >= PROBE_S:
                 self._asked_s[entry.name] = self._context.now_s
                 probe = ProbeEndpoint(entry.name, entry.address, entry.kind)
-                self._context.do(probe)
+                self._context.emit(probe)
 
     def _probed_here(self) -> list[EndpointEntry]:
         members = self._context.members
@@ -104,7 +104,7 @@
         if view is None or entry is None or view.owner != self._context.host:
             return
         if event.reached and not view.loaded <= set(event.loaded):
-            self._context.do(RequestReport(entry.name, entry.address))
+            self._context.emit(RequestReport(entry.name, entry.address))
 
     def _said(self, endpoint: str) -> None:
         new = self._note(endpoint, Sign.SAID)
--- a/packages/core/src/knapweedbridge_core/order_side.py
+++ b/packages/core/src/knapweedbridge_core/order_side.py
@@ -133,7 +133,7 @@
         weights = self._context.configuration.versions.get(model, str(model))
         timed = kind == "evict" and not tenure.checks_fencing
         not_after_s = self._estate.lease.valid_until_s if timed else inf
-        self._context.do(
+        self._context.emit(
             OrderEndpoint(
                 entry.name,
                 entry.address,
--- a/packages/core/src/knapweedbridge_core/owner_side.py
+++ b/packages/core/src/knapweedbridge_core/owner_side.py
@@ -57,7 +57,7 @@
     def _tick(self, event: events.Tick) -> None:
         self._estate.tick()
         for action in self._estate.lease.tick(self._context.now_s):
-            self._context.do(action)
+            self._context.emit(action)
         self._claim()
         for entry in self._context.engines():
             self._look_after(entry)
@@ -71,7 +71,7 @@
     def _claim(self) -> None:
         now_s = self._context.now_s
         for action in self.owners.tick(self._context.engines(), now_s):
-            self._context.do(action)
+            self._context.emit(action)
 
     def _look_after(self, entry: EndpointEntry) -> None:
         number = self.owners.number(entry.name)
@@ -92,7 +92,7 @@
             return
         now_s = self._context.now_s
         for action in self.owners.hand_over(entry.name, successor, now_s):
-            self._context.do(action)
+            self._context.emit(action)
 
     def _drain_began(self, event: events.DrainBegan) -> None:
         for entry in self._context.engines():
@@ -103,14 +103,14 @@
         if event.token.startswith("lease:"):
             before = self._estate.lease.epoch
             for action in self._estate.lease.replied(event, now_s):
-                self._context.do(action)
+                self._context.emit(action)
             if self._estate.lease.epoch != before:
                 self._context.record("lease.begun", epoch=before + 1)
                 self._claim()
             return
         actions, changes = self.owners.replied(event, now_s)
         for action in actions:
-            self._context.do(action)
+            self._context.emit(action)
         self._take_changes(changes)
 
     def _take_changes(self, changes: list[Change]) -> None:
@@ -216,7 +216,7 @@
             return
         entry = self._context.configuration.endpoints[tenure.endpoint]
         tenure.report_asked_s = now_s
-        self._context.do(RequestReport(entry.name, entry.address, tenure.number))
+        self._context.emit(RequestReport(entry.name, entry.address, tenure.number))
 
     def _publish_if_due(self, tenure: Tenure) -> None:
         running = tenure.ledger.running
--- a/packages/core/src/knapweedbridge_core/request_side.py
+++ b/packages/core/src/knapweedbridge_core/request_side.py
@@ -245,7 +245,7 @@
             return
         live.dispatched = True
         request_id = live.request.request_id
-        self._context.do(
+        self._context.emit(
             Dispatch(request_id, live.attempt_id, entry.name, entry.address)
         )
         self._context.record(
@@ -325,14 +325,14 @@
             return
         live.count_resume()
         request_id = live.request.request_id
-        self._context.do(Count("attempt.resumed"))
+        self._context.emit(Count("attempt.resumed"))
         self._context.record(
             "attempt.resumed",
             request=request_id,
             attempt=live.attempt_id,
             offset=live.delivered,
         )
-        self._context.do(
+        self._context.emit(
             Resume(
                 request_id, live.attempt_id, entry.name, entry.address, live.delivered
             )
@@ -341,7 +341,7 @@
     def _again(self, live: LiveRequest, at_s: float) -> None:
         live.endpoint = ""
         live.retry_at_s = at_s
-        self._context.do(Count("request.retried"))
+        self._context.emit(Count("request.retried"))
         if at_s <= self._context.now_s:
             self._route(live)
 
@@ -368,11 +368,11 @@
         if not isinstance(outcome, Recorded):
             outcome = live.honest(outcome)
         self._claimant.end(request_id, outcome)
-        self._context.do(Finish(request_id, outcome))
+        self._context.emit(Finish(request_id, outcome))
         word = "complete"
         if isinstance(outcome, (NotRun, Unknown)):
             word = str(outcome.reason)
-        self._context.do(Count(f"request.{word}"))
+        self._context.emit(Count(f"request.{word}"))
         self._context.record(
             "request.finished",
             request=request_id,
