--- a/packages/core/src/knapweedbridge_core/serving/messages.py
+++ b/packages/core/src/knapweedbridge_core/serving/messages.py
@@ -197,8 +197,8 @@
     number: int
 
 
-@message
-class EngineAsked:
+@message(tag="EngineAsked")
+class EngineSnapshotRequest:
     """A daemon missed a telling, and asks for all."""
 
     endpoint: str
--- a/packages/daemon/src/knapweedbridge_daemon/serving/engine_owners.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/engine_owners.py
@@ -8,7 +8,7 @@
     AdapterMissed,
     AdapterRequest,
     CallsRunning,
-    EngineAsked,
+    EngineSnapshotRequest,
     OwnershipEnded,
     OwnershipTaken,
     TurnRequest,
@@ -27,7 +27,7 @@
     AdapterRequest
     | AdapterMissed
     | CallsRunning
-    | EngineAsked
+    | EngineSnapshotRequest
     | TurnRequest
     | OwnershipTaken
     | OwnershipEnded
@@ -132,7 +132,7 @@
             owner.wanted(daemon, model, message.version)
         elif isinstance(message, TurnRequest):
             await owner.turns.asked(daemon, message)
-        elif isinstance(message, EngineAsked):
+        elif isinstance(message, EngineSnapshotRequest):
             await owner.asked_for_all(daemon)
         elif isinstance(message, AdapterMissed):
             owner.missed(ModelRef(message.base, message.adapter))
--- a/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
@@ -9,8 +9,8 @@
 from knapweedbridge_core.peer_events import PeerDisconnected, PeerMessage
 from knapweedbridge_core.serving import Endpoint, understands
 from knapweedbridge_core.serving.messages import (
-    EngineAsked,
     EngineChanged,
+    EngineSnapshotRequest,
     EngineTold,
     OwnerAck,
     RelayAsked,
@@ -265,7 +265,7 @@
         now_s = anyio.current_time()
         if now_s - endpoint.asked_all_s > pause_s:
             endpoint.asked_all_s = now_s
-            await self.send(owner, EngineAsked(endpoint.name))
+            await self.send(owner, EngineSnapshotRequest(endpoint.name))
 
     async def _take_answered(self, daemon: str, message: OwnerAck) -> None:
         endpoint = self._hub.cluster.fleet.endpoints.get(message.endpoint)
