--- a/packages/core/src/knapweedbridge_core/serving/crashes.py
+++ b/packages/core/src/knapweedbridge_core/serving/crashes.py
@@ -125,7 +125,7 @@
             for each in self._endings
         )
 
-    def awaits(self, mark: str, parts: Sequence[str], now_s: float) -> bool:
+    def is_verdict_pending(self, mark: str, parts: Sequence[str], now_s: float) -> bool:
         """Return whether a loss is about to be judged that a call may have caused."""
         unproven = set(self.parts.unproven(parts, now_s))
         recent = takewhile(
--- a/packages/daemon/src/knapweedbridge_daemon/serving/suspect_calls.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/suspect_calls.py
@@ -51,7 +51,7 @@
 
     def _waits(self, call: Call, now_s: float) -> bool:
         crashes = self._hub.crashes
-        if crashes.awaits(call.mark, call.parts, now_s):
+        if crashes.is_verdict_pending(call.mark, call.parts, now_s):
             return True
         suspects = crashes.suspects_of(call.mark, call.parts, now_s)
         return any(self._running[each] > 0 for each in suspects)
