--- a/bench/mutants_configuration.py
+++ b/bench/mutants_configuration.py
@@ -34,7 +34,7 @@
 SIDE = ConfigurationSide
 LOWER_PARTS = rewritten(
     SIDE,
-    "_take_parts",
+    "_apply_parts",
     ("root.generation <= held.generation", "root.generation == held.generation"),
 )
 LOWER_CHANGES = rewritten(
@@ -43,7 +43,7 @@
     ("message.generation > held.generation", "message.generation != held.generation"),
 )
 NO_WHOLE_CHECK = rewritten(
-    SIDE, "_take_parts", (" or parts.digests != root.digests", "")
+    SIDE, "_apply_parts", (" or parts.digests != root.digests", "")
 )
 UNVERIFIED = [
     (configuration_side, "verify", _unverified),
--- a/packages/core/src/knapweedbridge_core/configuration_side.py
+++ b/packages/core/src/knapweedbridge_core/configuration_side.py
@@ -163,7 +163,7 @@
             self._put_in_force(read, "service")
 
     def _parts_read(self, event: events.PartsRead) -> None:
-        self._take_parts(event.root, event.parts, "service")
+        self._apply_parts(event.root, event.parts, "service")
 
     def _root_seen(self, event: events.RootSeen) -> None:
         self._read_s = self._context.now_s
@@ -233,7 +233,7 @@
             )
             return
         parts = self._context.configuration.parts.replaced(fetch.contents)
-        self._take_parts(fetch.root, parts, fetch.peer)
+        self._apply_parts(fetch.root, parts, fetch.peer)
 
     def _part_told(self, message: messages.PartResponse) -> None:
         fetch = self._fetch
@@ -253,7 +253,7 @@
         if not fetch.in_flight:
             self._ask_parts(fetch)
 
-    def _take_parts(self, root: Root, parts: Parts, source: str) -> None:
+    def _apply_parts(self, root: Root, parts: Parts, source: str) -> None:
         held = self._context.configuration
         if root.generation <= held.generation or parts.digests != root.digests:
             return
