--- a/packages/core/src/knapweedbridge_core/serving/endpoint.py
+++ b/packages/core/src/knapweedbridge_core/serving/endpoint.py
@@ -216,7 +216,7 @@
         if self.held.pop(model, None) is not None:
             self.recent.add(model)
 
-    def add_held(
+    def add_adapter(
         self, model: ModelRef, version: int, now_s: float, ready_in_s: float
     ) -> None:
         """Take that it holds an adapter, or will after some seconds."""
--- a/packages/core/src/knapweedbridge_core/serving/fleet.py
+++ b/packages/core/src/knapweedbridge_core/serving/fleet.py
@@ -229,7 +229,7 @@
         for base, adapter in message.removed:
             endpoint.remove_adapter(ModelRef(base, adapter))
         for base, adapter, version, ready_in_s in message.added:
-            endpoint.add_held(ModelRef(base, adapter), version, now_s, ready_in_s)
+            endpoint.add_adapter(ModelRef(base, adapter), version, now_s, ready_in_s)
         endpoint.take_load(message, now_s)
         self._note_told(endpoint, message, now_s)
         return True
