--- a/packages/core/src/knapweedbridge_core/context.py
+++ b/packages/core/src/knapweedbridge_core/context.py
@@ -8,7 +8,7 @@
 from knapweedbridge_core.actions import Action, Record, SendPeer
 from knapweedbridge_core.blame import Blame
 from knapweedbridge_core.configuration import Configuration, EndpointEntry
-from knapweedbridge_core.fencing import Fences
+from knapweedbridge_core.fencing import FencingNumbers
 from knapweedbridge_core.leaving import Leaving
 from knapweedbridge_core.members import Members
 from knapweedbridge_core.names import AdapterVersion
@@ -58,7 +58,7 @@
         self.silence_s = timing.silence_s
         self.isolated = False
         self.view = View()
-        self.fences = Fences()
+        self.fences = FencingNumbers()
         self.leaving = Leaving()
         self.blame = Blame()
         self.now_s = 0.0
--- a/packages/core/src/knapweedbridge_core/fencing.py
+++ b/packages/core/src/knapweedbridge_core/fencing.py
@@ -4,7 +4,7 @@
 
 
 @dataclass(slots=True)
-class Fences:
+class FencingNumbers:
     """Keeps an old owner's late grant from being used."""
 
     _numbers: dict[str, int] = field(default_factory=dict)
