--- a/packages/core/src/knapweedbridge_core/serving/messages.py
+++ b/packages/core/src/knapweedbridge_core/serving/messages.py
@@ -204,8 +204,8 @@
     endpoint: str
 
 
-@message
-class OwnershipTaken:
+@message(tag="OwnershipTaken")
+class OwnershipClaimed:
     """A daemon that claimed an engine asks the owner before to stop ordering it."""
 
     endpoint: str
--- a/packages/daemon/src/knapweedbridge_daemon/serving/engine_owners.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/engine_owners.py
@@ -9,8 +9,8 @@
     AdapterRequest,
     CallsRunning,
     EngineSnapshotRequest,
+    OwnershipClaimed,
     OwnershipEnded,
-    OwnershipTaken,
     TurnRequest,
 )
 from knapweedbridge_core.serving.ownership import OwnerRecord
@@ -29,7 +29,7 @@
     | CallsRunning
     | EngineSnapshotRequest
     | TurnRequest
-    | OwnershipTaken
+    | OwnershipClaimed
     | OwnershipEnded
 )
 
@@ -118,7 +118,7 @@
 
     async def heard(self, daemon: str, message: ToOwner) -> None:
         """Take a daemon's message about an engine that is owned here."""
-        if isinstance(message, OwnershipTaken):
+        if isinstance(message, OwnershipClaimed):
             await self._give_up(daemon, message)
             return
         owner = self._owned.get(message.endpoint)
@@ -139,7 +139,7 @@
         else:
             owner.calls_running(daemon, message)
 
-    async def _give_up(self, daemon: str, message: OwnershipTaken) -> None:
+    async def _give_up(self, daemon: str, message: OwnershipClaimed) -> None:
         owner = self._owned.get(message.endpoint)
         if owner is not None and owner.number < message.number:
             owner.scope.cancel()
--- a/packages/daemon/src/knapweedbridge_daemon/serving/engine_owning.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/engine_owning.py
@@ -21,7 +21,7 @@
 from knapweedbridge_core.serving.messages import (
     CallsRunning,
     OwnerAck,
-    OwnershipTaken,
+    OwnershipClaimed,
 )
 from knapweedbridge_core.serving.ownership import OwnerRecord
 from knapweedbridge_core.serving.prompt_pacing import LEAST_PAUSE_S
@@ -209,7 +209,7 @@
         self._predecessors = {each.record.owner for each in lost}
         predecessors = sorted(self._predecessors)
         for owner in predecessors:
-            await self._send(owner, OwnershipTaken(name, self.number))
+            await self._send(owner, OwnershipClaimed(name, self.number))
         with anyio.move_on_at(max(each.lost_s for each in lost) + hub.lease_s):
             await self._alone.wait()
         self._hub.log.info(
