--- a/packages/core/src/knapweedbridge_core/serving/crashes.py
+++ b/packages/core/src/knapweedbridge_core/serving/crashes.py
@@ -118,7 +118,7 @@
             found.calls.append(call)
             self.parts.blamed(loss_id(ending.start), [call], found.at_s)
 
-    def has_broken(self, endpoint: str, now_s: float) -> bool:
+    def has_recent_failure(self, endpoint: str, now_s: float) -> bool:
         """Return whether a call has ended badly at an endpoint of late."""
         return any(
             each.start.endpoint == endpoint and each.is_recent(now_s)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/crash_watch.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/crash_watch.py
@@ -181,7 +181,7 @@
             if not self._has_work():
                 await self._hub.losses_changed.wait(LOOK_S)
             for name in self._hub.cluster.fleet.take_replaced():
-                if self._hub.crashes.has_broken(name, loop_time_s()):
+                if self._hub.crashes.has_recent_failure(name, loop_time_s()):
                     self._lost.append((name, "replaced"))
             await self._notify_held()
             while self._lost:
--- a/packages/daemon/src/knapweedbridge_daemon/serving/endpoint_connector.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/endpoint_connector.py
@@ -116,7 +116,7 @@
     def _must_ask(self, destination: Destination) -> bool:
         """Return whether other hosts are asked for what a call does not reach."""
         hub, now_s = self._hub, loop_time_s()
-        is_blamed = hub.crashes.has_broken(destination.endpoint, now_s)
+        is_blamed = hub.crashes.has_recent_failure(destination.endpoint, now_s)
         return self._may_ask(destination) and (
             is_blamed or hub.paths.are_doubted(now_s)
         )
