--- a/features/members/steps/configuration_steps.py
+++ b/features/members/steps/configuration_steps.py
@@ -189,7 +189,7 @@
 
     def read(self, store):
         stored = run(read_root(store))
-        self.tell(events.RootSeen(stored.root))
+        self.tell(events.RootRead(stored.root))
         held = self.bridge.configuration
         if stored.generation > held.generation:
             parts = run(read_parts(store, stored.root, held.parts))
--- a/packages/core/src/knapweedbridge_core/configuration_side.py
+++ b/packages/core/src/knapweedbridge_core/configuration_side.py
@@ -58,7 +58,7 @@
             events.Tick: self._tick,
             events.ConfigurationRead: self._configuration_read,
             events.PartsRead: self._parts_read,
-            events.RootSeen: self._root_seen,
+            events.RootRead: self._root_seen,
             messages.Heartbeat: self._heartbeat,
             messages.ConfigurationRequest: self._giver.send_changes,
             messages.ConfigurationDelta: self._apply_delta,
@@ -165,7 +165,7 @@
     def _parts_read(self, event: events.PartsRead) -> None:
         self._apply_parts(event.root, event.parts, "service")
 
-    def _root_seen(self, event: events.RootSeen) -> None:
+    def _root_seen(self, event: events.RootRead) -> None:
         self._read_s = self._context.now_s
         root, before = event.root, self.service_root
         self.service_seen = True
--- a/packages/core/src/knapweedbridge_core/events.py
+++ b/packages/core/src/knapweedbridge_core/events.py
@@ -33,7 +33,7 @@
     "PeerDisconnected",
     "Request",
     "RequestArrived",
-    "RootSeen",
+    "RootRead",
     "StoreReplied",
     "Tick",
 ]
@@ -120,7 +120,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class RootSeen:
+class RootRead:
     """The platform's service showed its root, whatever its generation."""
 
     root: Root
--- a/packages/daemon/src/knapweedbridge_daemon/watching.py
+++ b/packages/daemon/src/knapweedbridge_daemon/watching.py
@@ -73,7 +73,7 @@
     async def _read(self) -> StoredRoot:
         stored = await read_root(self._store)
         self._driver.note_platform("key_value", True)
-        await self._driver.submit(events.RootSeen(stored.root))
+        await self._driver.submit(events.RootRead(stored.root))
         held = self._driver.bridge.configuration
         if stored.generation > held.generation:
             parts = await read_parts(self._store, stored.root, held.parts)
--- a/packages/standins/src/knapweedbridge_standins/configuration_history.py
+++ b/packages/standins/src/knapweedbridge_standins/configuration_history.py
@@ -140,7 +140,7 @@
             assert first == root.token, "a number accepted twice"
 
     def _take_root(self, host: str, stored: StoredRoot) -> None:
-        self._tell(host, events.RootSeen(stored.root))
+        self._tell(host, events.RootRead(stored.root))
         held = self.bridges[host].configuration
         if stored.generation > held.generation:
             parts = run_at_once(read_parts(self.store, stored.root, held.parts))
--- a/packages/standins/src/knapweedbridge_standins/pool.py
+++ b/packages/standins/src/knapweedbridge_standins/pool.py
@@ -297,7 +297,7 @@
         if self.service.down or host in self.cut_from_service:
             return
         root, parts = self.service.root, self.service.parts
-        self._take(host, node, events.RootSeen(root))
+        self._take(host, node, events.RootRead(root))
         held = node.bridge.configuration
         if root.generation > held.generation:
             pairs = zip(root.digests, held.parts.digests, strict=True)
