--- a/packages/core/src/knapweedbridge_core/serving/endpoint.py
+++ b/packages/core/src/knapweedbridge_core/serving/endpoint.py
@@ -238,7 +238,7 @@
         following = self.told_number, self.told_order + 1
         return (message.number, message.order) == following
 
-    def take_load(self, message: EngineTold | EngineChanged, now_s: float) -> None:
+    def update_load(self, message: EngineTold | EngineChanged, now_s: float) -> None:
         """Take the calls of other daemons and what else every telling holds."""
         self.told_number, self.told_order = message.number, message.order
         own = self._counted_in(now_s) if message.of_all else NO_REPORTED_LOAD
--- a/packages/core/src/knapweedbridge_core/serving/fleet.py
+++ b/packages/core/src/knapweedbridge_core/serving/fleet.py
@@ -171,7 +171,7 @@
                 for base, adapter, version, ready_in_s, users, idle_s in message.held
             }
         )
-        endpoint.take_load(message, now_s)
+        endpoint.update_load(message, now_s)
         self._note_told(endpoint, message, now_s)
         return endpoint
 
@@ -230,7 +230,7 @@
             endpoint.remove_adapter(ModelRef(base, adapter))
         for base, adapter, version, ready_in_s in message.added:
             endpoint.add_adapter(ModelRef(base, adapter), version, now_s, ready_in_s)
-        endpoint.take_load(message, now_s)
+        endpoint.update_load(message, now_s)
         self._note_told(endpoint, message, now_s)
         return True
 
