--- a/packages/core/src/knapweedbridge_core/context.py
+++ b/packages/core/src/knapweedbridge_core/context.py
@@ -58,7 +58,7 @@
         self.silence_s = timing.silence_s
         self.isolated = False
         self.view = View()
-        self.fences = FencingNumbers()
+        self.fencing_numbers = FencingNumbers()
         self.leaving = Leaving()
         self.blame = Blame()
         self.now_s = 0.0
--- a/packages/core/src/knapweedbridge_core/request_side.py
+++ b/packages/core/src/knapweedbridge_core/request_side.py
@@ -270,7 +270,9 @@
         # A daemon that slept, or whose owner was succeeded, holds a grant that the
         # new owner may not know of: the request would start on a slot about to go.
         fresh = self._context.now_s - live.asked_s <= GRANT_USE_S
-        return fresh and self._context.fences.admits(message.endpoint, message.number)
+        return fresh and self._context.fencing_numbers.admits(
+            message.endpoint, message.number
+        )
 
     def _grant_refused(self, message: messages.GrantRefused) -> None:
         live = self._of_attempt(message.attempt_id)
