--- a/packages/core/src/knapweedbridge_core/serving/messages.py
+++ b/packages/core/src/knapweedbridge_core/serving/messages.py
@@ -212,8 +212,8 @@
     number: int
 
 
-@message
-class OwnershipEnded:
+@message(tag="OwnershipEnded")
+class OwnershipReleased:
     """The owner before gives no more orders to an engine."""
 
     endpoint: str
--- a/packages/daemon/src/knapweedbridge_daemon/serving/engine_owners.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/engine_owners.py
@@ -10,7 +10,7 @@
     CallsRunning,
     EngineSnapshotRequest,
     OwnershipClaimed,
-    OwnershipEnded,
+    OwnershipReleased,
     TurnRequest,
 )
 from knapweedbridge_core.serving.ownership import OwnerRecord
@@ -30,7 +30,7 @@
     | EngineSnapshotRequest
     | TurnRequest
     | OwnershipClaimed
-    | OwnershipEnded
+    | OwnershipReleased
 )
 
 
@@ -124,7 +124,7 @@
         owner = self._owned.get(message.endpoint)
         if owner is None:
             return
-        if isinstance(message, OwnershipEnded):
+        if isinstance(message, OwnershipReleased):
             owner.predecessor_ended(daemon, message.number)
             return
         if isinstance(message, AdapterRequest):
@@ -150,7 +150,7 @@
             self._hub.log.info(
                 "owner.given_up", engine=message.endpoint, successor=daemon
             )
-        await self._send(daemon, OwnershipEnded(message.endpoint, message.number))
+        await self._send(daemon, OwnershipReleased(message.endpoint, message.number))
 
     async def stop(self, engine: str) -> None:
         """Give no more orders to an engine, whose record is about to be given up."""
