--- a/packages/core/src/knapweedbridge_core/serving/crashes.py
+++ b/packages/core/src/knapweedbridge_core/serving/crashes.py
@@ -151,7 +151,7 @@
         self._held |= {each: until_s for each in marks if self._blame.knows(each)}
         self.parts.hold(parts, until_s, now_s)
 
-    def suspects_of(
+    def find_suspects(
         self, mark: str, parts: Sequence[str], now_s: float
     ) -> tuple[str, ...]:
         """Return what of a call a loss is held against."""
--- a/packages/daemon/src/knapweedbridge_daemon/serving/crash_watch.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/crash_watch.py
@@ -126,7 +126,7 @@
         now_s = loop_time_s()
         crashes = self._hub.crashes
         parts = () if has_stayed else call.parts
-        is_suspected = bool(crashes.suspects_of(call.mark, parts, now_s))
+        is_suspected = bool(crashes.find_suspects(call.mark, parts, now_s))
         is_probed = self._probe_once(Suspicion(endpoint, sent_s, is_closed), now_s)
         found = crashes.ended(
             call.mark,
--- a/packages/daemon/src/knapweedbridge_daemon/serving/suspect_calls.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/suspect_calls.py
@@ -45,7 +45,7 @@
             if now_s >= until_s or not self._waits(call, now_s):
                 break
             await self._hub.losses_changed.wait(LOOK_S)
-        call.suspects = crashes.suspects_of(call.mark, call.parts, now_s)
+        call.suspects = crashes.find_suspects(call.mark, call.parts, now_s)
         self._running.update(call.suspects)
         return 0.0
 
@@ -53,7 +53,7 @@
         crashes = self._hub.crashes
         if crashes.is_verdict_pending(call.mark, call.parts, now_s):
             return True
-        suspects = crashes.suspects_of(call.mark, call.parts, now_s)
+        suspects = crashes.find_suspects(call.mark, call.parts, now_s)
         return any(self._running[each] > 0 for each in suspects)
 
     def release(self, call: Call) -> None:
