--- a/packages/core/src/knapweedbridge_core/configuration_side.py
+++ b/packages/core/src/knapweedbridge_core/configuration_side.py
@@ -282,7 +282,7 @@
         self._context.record("configuration.in_force", **fields)
         if source != "service" and not self.service_seen:
             self._context.record("configuration.service_not_reached", **fields)
-        self._context.dispatch(events.GenerationTaken(generation))
+        self._context.dispatch(events.GenerationApplied(generation))
 
 
 def _is_named(digest: str, content: bytes) -> bool:
--- a/packages/core/src/knapweedbridge_core/events.py
+++ b/packages/core/src/knapweedbridge_core/events.py
@@ -22,7 +22,7 @@
     "EndpointDrained",
     "EndpointProbed",
     "EndpointReported",
-    "GenerationTaken",
+    "GenerationApplied",
     "GenerationsAsked",
     "HostsListed",
     "ListedHost",
@@ -127,7 +127,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class GenerationTaken:
+class GenerationApplied:
     """A new generation came in force on this daemon."""
 
     generation: int
--- a/packages/core/src/knapweedbridge_core/member_side.py
+++ b/packages/core/src/knapweedbridge_core/member_side.py
@@ -34,7 +34,7 @@
             events.Tick: self._tick,
             events.DrainBegan: self._drain_began,
             events.DrainClosed: self._drain_closed,
-            events.GenerationTaken: self._generation_taken,
+            events.GenerationApplied: self._generation_taken,
             events.GenerationsAsked: self._generations_asked,
             events.HostsListed: self._hosts_listed,
             events.PeerConnected: self._peer_linked,
@@ -110,7 +110,7 @@
     def _drain_closed(self, event: events.DrainClosed) -> None:
         self._context.members.refusing = True
 
-    def _generation_taken(self, event: events.GenerationTaken) -> None:
+    def _generation_taken(self, event: events.GenerationApplied) -> None:
         self._beat(self._context.members.neighbours())
 
     def _generations_asked(self, event: events.GenerationsAsked) -> None:
