--- a/packages/core/src/knapweedbridge_core/serving/fleet.py
+++ b/packages/core/src/knapweedbridge_core/serving/fleet.py
@@ -197,7 +197,7 @@
         ]
         return EngineTold(
             endpoint.name,
-            endpoint.told_number,
+            endpoint.update_number,
             endpoint.told_order,
             held,
             endpoint.calls,
@@ -218,7 +218,7 @@
         endpoint = self.endpoints.get(message.endpoint)
         if endpoint is None:
             return False
-        told = endpoint.told_number, endpoint.told_order + 1
+        told = endpoint.update_number, endpoint.told_order + 1
         return (message.number, message.order) > told
 
     def take_changed(self, message: EngineChanged, now_s: float) -> bool:
--- a/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
@@ -188,7 +188,7 @@
         self._hub.load_times.told(message.cold_s)
         self._hub.load_times.trial_held(message.loads_at_once)
         known = self._hub.cluster.fleet.endpoints.get(message.endpoint)
-        before = known.told_number if known else 0
+        before = known.update_number if known else 0
         endpoint = self._hub.cluster.fleet.take_told(message, now_s)
         if endpoint is None:
             return False
