--- a/packages/core/src/knapweedbridge_core/fencing.py
+++ b/packages/core/src/knapweedbridge_core/fencing.py
@@ -17,6 +17,6 @@
         """Note that an owner under this number asked or spoke."""
         self._numbers[endpoint] = max(number, self.number(endpoint))
 
-    def admits(self, endpoint: str, number: int) -> bool:
+    def is_current(self, endpoint: str, number: int) -> bool:
         """Tell whether the word of an owner under this number still counts."""
         return number >= self.number(endpoint)
--- a/packages/core/src/knapweedbridge_core/holder_side.py
+++ b/packages/core/src/knapweedbridge_core/holder_side.py
@@ -64,14 +64,14 @@
         self._note_owner(message.endpoint, message.owner, message.number)
 
     def _note_owner(self, endpoint: str, owner: str, number: int) -> None:
-        if self._context.fencing_numbers.admits(endpoint, number):
+        if self._context.fencing_numbers.is_current(endpoint, number):
             self._context.fencing_numbers.raise_to(endpoint, number)
             self._owners[endpoint] = owner
 
     def _grants_ask(self, message: messages.HeldGrantsRequest) -> None:
         endpoint, number = message.endpoint, message.number
         sender = self._context.sender
-        if not self._context.fencing_numbers.admits(endpoint, number):
+        if not self._context.fencing_numbers.is_current(endpoint, number):
             highest = self._context.fencing_numbers.number(endpoint)
             self._context.send(sender, messages.OwnerSuperseded(endpoint, highest))
             return
@@ -99,7 +99,7 @@
     def _eviction_intent(self, message: messages.EvictionIntent) -> None:
         endpoint, model, number = message.endpoint, message.model, message.number
         sender = self._context.sender
-        if not self._context.fencing_numbers.admits(endpoint, number):
+        if not self._context.fencing_numbers.is_current(endpoint, number):
             highest = self._context.fencing_numbers.number(endpoint)
             self._context.send(sender, messages.OwnerSuperseded(endpoint, highest))
             return
--- a/packages/core/src/knapweedbridge_core/request_side.py
+++ b/packages/core/src/knapweedbridge_core/request_side.py
@@ -270,7 +270,7 @@
         # A daemon that slept, or whose owner was succeeded, holds a grant that the
         # new owner may not know of: the request would start on a slot about to go.
         fresh = self._context.now_s - live.asked_s <= GRANT_USE_S
-        return fresh and self._context.fencing_numbers.admits(
+        return fresh and self._context.fencing_numbers.is_current(
             message.endpoint, message.number
         )
 
