--- a/bench/peer_messages.py
+++ b/bench/peer_messages.py
@@ -49,7 +49,7 @@
     CallsRunning,
     EngineChanged,
     EngineTold,
-    StoreTold,
+    StoreUpdate,
 )
 from knapweedbridge_daemon.peer_sockets import PeerListener
 from knapweedbridge_daemon.peers import Peers
@@ -128,7 +128,7 @@
                 *(n // 20 % 3, 0, ["m"], 1, 0.3, 4800.0, 1.0, True),
             )
             rows.append(row)
-        found.append(encode(StoreTold(n, n, pack_items([]), pack_engines(rows))))
+        found.append(encode(StoreUpdate(n, n, pack_items([]), pack_engines(rows))))
     return found
 
 
--- a/features/serving/steps/late_news_steps.py
+++ b/features/serving/steps/late_news_steps.py
@@ -5,7 +5,7 @@
 
 from knapweedbridge_core.serving import ClusterState, DaemonRecord
 from knapweedbridge_core.serving.cluster_state import DaemonNamed
-from knapweedbridge_core.serving.messages import RelayAsked, StoreTold
+from knapweedbridge_core.serving.messages import RelayAsked, StoreUpdate
 from knapweedbridge_daemon.serving.store_telling import pack_items
 from knapweedbridge_daemon.serving.told_items import ToldItems
 from knapweedbridge_daemon.store import StoreItem, StoreItems
@@ -250,7 +250,7 @@
             tasks.start_soon(follower._watch_once, "", 0.0)
             await anyio.sleep(0.1)
             items = [endpoint_item("e1", True, revision)]
-            follower.heard("h3", StoreTold(8, revision, pack_items(items)))
+            follower.heard("h3", StoreUpdate(8, revision, pack_items(items)))
             assert context.daemon.knows_leaving("e1")
 
     run_virtually(story())
@@ -291,7 +291,7 @@
 
 
 async def tell_of(context, relay, since):
-    told = StoreTold(since, since + 1, pack_items([]))
+    told = StoreUpdate(since, since + 1, pack_items([]))
     await context.daemon.link._take(relay, told)
 
 
--- a/features/serving/steps/relay_steps.py
+++ b/features/serving/steps/relay_steps.py
@@ -19,7 +19,7 @@
     EngineChanged,
     EngineTold,
     RelayAsked,
-    StoreTold,
+    StoreUpdate,
 )
 from knapweedbridge_daemon.serving.believing import StoreFollower
 from knapweedbridge_daemon.serving.relaying import Relaying
@@ -259,13 +259,13 @@
             for _ in range(6):
                 if is_told:
                     mark_s = anyio.current_time()
-                    message = StoreTold(7, 7, pack_items([]), mark_s=mark_s)
+                    message = StoreUpdate(7, 7, pack_items([]), mark_s=mark_s)
                     context.follower.heard(context.relay, message)
                 await anyio.sleep(0.2)
             tasks.cancel_scope.cancel()
 
     # It was told by its relay before.
-    context.follower.heard(context.relay, StoreTold(7, 7, pack_items([])))
+    context.follower.heard(context.relay, StoreUpdate(7, 7, pack_items([])))
     anyio.run(story)
 
 
--- a/features/serving/steps/store_steps.py
+++ b/features/serving/steps/store_steps.py
@@ -5,7 +5,7 @@
 
 from knapweedbridge_core.codec import encode
 from knapweedbridge_core.serving import StoreAge
-from knapweedbridge_core.serving.messages import StoreTold
+from knapweedbridge_core.serving.messages import StoreUpdate
 from knapweedbridge_daemon.serving.believing import StoreFollower
 from knapweedbridge_daemon.serving.store_telling import pack_items, unpack_items
 from knapweedbridge_daemon.store import StoreItem
@@ -40,7 +40,7 @@
         StoreItem(f"engines/i-{each:010x}", entry(each), 900 + each)
         for each in range(count)
     ]
-    told = StoreTold(1, 2, pack_items(context.items))
+    told = StoreUpdate(1, 2, pack_items(context.items))
     context.bytes_per_s = len(encode(told)) * n / s
     context.told = told
 
@@ -56,7 +56,7 @@
     hub = SimpleNamespace(store_age=StoreAge())
     follower = StoreFollower(hub, None, None, lambda *changes: None)
     follower._revision = 5
-    follower.heard("relay", StoreTold(since, revision, pack_items([])))
+    follower.heard("relay", StoreUpdate(since, revision, pack_items([])))
     context.follower = follower
 
 
--- a/packages/core/src/knapweedbridge_core/serving/messages.py
+++ b/packages/core/src/knapweedbridge_core/serving/messages.py
@@ -220,8 +220,8 @@
     number: int
 
 
-@message
-class StoreTold:
+@message(tag="StoreTold")
+class StoreUpdate:
     """A relay hands on what it heard of the store and of the engines.
 
     Parameters
--- a/packages/daemon/src/knapweedbridge_daemon/serving/believing.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/believing.py
@@ -16,7 +16,7 @@
     StoreEvent,
     VersionNamed,
 )
-from knapweedbridge_core.serving.messages import StoreTold
+from knapweedbridge_core.serving.messages import StoreUpdate
 from knapweedbridge_daemon.errors import StoreError
 from knapweedbridge_daemon.serving.hub import Hub
 from knapweedbridge_daemon.serving.item_reading import ItemReader
@@ -97,7 +97,7 @@
         if self._watch is not None and not self._calls.is_connecting:
             self._watch.cancel()
 
-    def heard(self, relay: str, message: StoreTold) -> int:
+    def heard(self, relay: str, message: StoreUpdate) -> int:
         """Take changes that a relay heard from the store.
 
         Returns
--- a/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
@@ -17,7 +17,7 @@
     ShareAsked,
     ShareGiven,
     StoreMarked,
-    StoreTold,
+    StoreUpdate,
     TurnGrant,
 )
 from knapweedbridge_daemon.peer_sockets import PeerListener
@@ -75,7 +75,7 @@
         self.resuming = StreamResuming(hub, self.send)
         self.crashes = CrashWatch(hub, self.send)
         self._relays_asked_s: dict[str, float] = {}
-        self.on_store_told: Callable[[str, StoreTold], int] = lambda *told: 0
+        self.on_store_told: Callable[[str, StoreUpdate], int] = lambda *told: 0
         self._peers: Peers | None = None
         self._takers = self._make_takers()
 
@@ -92,7 +92,7 @@
         of_calls = get_args(OfPlain) + get_args(OfPermits)
         takers |= dict.fromkeys(of_calls, self._take_of_calls)
         takers |= dict.fromkeys(get_args(OfOrigins), self.resuming.heard)
-        of_relay = StoreTold, StoreMarked, RelayAsked
+        of_relay = StoreUpdate, StoreMarked, RelayAsked
         takers |= dict.fromkeys(of_relay, self._take_of_relay)
         return takers | dict.fromkeys(get_args(ToOwner), self.owners.heard)
 
@@ -168,10 +168,10 @@
             self.relaying.engine_told(message)
 
     async def _take_of_relay(
-        self, daemon: str, message: StoreTold | StoreMarked | RelayAsked
+        self, daemon: str, message: StoreUpdate | StoreMarked | RelayAsked
     ) -> None:
         """Take what a relay tells this daemon, or what a hearer asks of it."""
-        if isinstance(message, StoreTold):
+        if isinstance(message, StoreUpdate):
             missed_after = self.on_store_told(daemon, message)
             if missed_after:
                 # A daemon that the store turns away has no other way to hear of it: it
@@ -228,7 +228,7 @@
         elif isinstance(message, OfPermits):
             await self.permits.heard(daemon, message)
 
-    async def _take_relayed(self, relay: str, message: StoreTold) -> None:
+    async def _take_relayed(self, relay: str, message: StoreUpdate) -> None:
         """Take what a relay hands on of the engines."""
         missed = False
         now_s = anyio.current_time()
--- a/packages/daemon/src/knapweedbridge_daemon/serving/relaying.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/relaying.py
@@ -21,7 +21,7 @@
     EngineChanged,
     EngineTold,
     RelayAsked,
-    StoreTold,
+    StoreUpdate,
 )
 from knapweedbridge_daemon.serving.hub import Hub, Send
 from knapweedbridge_daemon.serving.store_telling import pack_engines, pack_items
@@ -182,7 +182,7 @@
                 message = self._catch_up(message, missed_after[name])
             await self._send(name, message)
 
-    def _catch_up(self, message: StoreTold, missed_after: int) -> StoreTold:
+    def _catch_up(self, message: StoreUpdate, missed_after: int) -> StoreUpdate:
         """Add the changes after a revision, where all of them are kept."""
         missed = self._log.after(missed_after)
         if missed is None:
@@ -191,11 +191,11 @@
 
     def _message(
         self, rows: Iterable[EngineTold | EngineChanged], now_s: float
-    ) -> StoreTold:
+    ) -> StoreUpdate:
         if now_s - self._heard_s > STORE_AGE_S:
-            return StoreTold(0, 0, pack_items([]), pack_engines(rows))
+            return StoreUpdate(0, 0, pack_items([]), pack_engines(rows))
         since = self._revision if self._since is None else self._since
-        return StoreTold(
+        return StoreUpdate(
             since, self._revision, pack_items(self._items), pack_engines(rows)
         )
 
--- a/packages/daemon/src/knapweedbridge_daemon/serving/store_telling.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/store_telling.py
@@ -13,7 +13,7 @@
 import msgpack
 
 from knapweedbridge_core.codec import decode, encode, unpacker
-from knapweedbridge_core.serving.messages import EngineChanged, EngineTold, StoreTold
+from knapweedbridge_core.serving.messages import EngineChanged, EngineTold, StoreUpdate
 from knapweedbridge_daemon.store import StoreItem
 
 LEVEL = 1
@@ -26,7 +26,7 @@
     return zlib.compress(msgpack.packb(rows), LEVEL)
 
 
-def unpack_items(message: StoreTold) -> list[StoreItem]:
+def unpack_items(message: StoreUpdate) -> list[StoreItem]:
     """Decode what changed."""
     rows = msgpack.unpackb(zlib.decompress(message.items))
     return [StoreItem(key, value, revision) for key, value, revision in rows]
@@ -38,7 +38,7 @@
     return zlib.compress(packed, LEVEL) if packed else b""
 
 
-def unpack_engines(message: StoreTold) -> list[EngineTold | EngineChanged]:
+def unpack_engines(message: StoreUpdate) -> list[EngineTold | EngineChanged]:
     """Decode what owners told of their engines."""
     if not message.engines:
         return []
