--- a/features/prompt_parts/steps/ledger_steps.py
+++ b/features/prompt_parts/steps/ledger_steps.py
@@ -123,7 +123,7 @@
     if "before" in when_begun:
         ledger.begun(["p"], NOW_S - (121 if "121" in when_begun else 1))
     if "the store says" in when_begun:
-        ledger.published(refusal_mark(["p"]), 60.0, NOW_S + 2)
+        ledger.record_published(refusal_mark(["p"]), 60.0, NOW_S + 2)
     else:
         lose(ledger, 0, NOW_S)
         lose(ledger, 1, NOW_S + 2)
--- a/packages/core/src/knapweedbridge_core/serving/crash_parts.py
+++ b/packages/core/src/knapweedbridge_core/serving/crash_parts.py
@@ -170,7 +170,7 @@
         self._held = {part: end_s for part, end_s in held if end_s > now_s}
         self._held |= dict.fromkeys(self.unproven(parts, now_s), until_s)
 
-    def published(self, mark: str, for_s: float, now_s: float) -> None:
+    def record_published(self, mark: str, for_s: float, now_s: float) -> None:
         """Record that the store says for how long prompts are refused."""
         parts = parts_refused(mark)
         if self.unproven(parts, now_s):
--- a/packages/core/src/knapweedbridge_core/serving/crashes.py
+++ b/packages/core/src/knapweedbridge_core/serving/crashes.py
@@ -240,10 +240,10 @@
             was_known = self._blame.clear(each) or was_published or was_known
         return was_known
 
-    def published(self, mark: str, for_s: float, now_s: float) -> None:
+    def record_published(self, mark: str, for_s: float, now_s: float) -> None:
         """Record that the store says for how long a call is refused."""
         if parts_refused(mark):
-            self.parts.published(mark, for_s, now_s)
+            self.parts.record_published(mark, for_s, now_s)
         else:
             self._published[mark] = now_s + for_s
 
--- a/packages/daemon/src/knapweedbridge_daemon/serving/believing.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/believing.py
@@ -322,7 +322,7 @@
         hub = self._hub
         match store_event:
             case CallRefused(mark, for_s):
-                hub.crashes.published(mark, for_s, now_s)
+                hub.crashes.record_published(mark, for_s, now_s)
             case CallAllowed(mark):
                 hub.crashes.unpublished(mark, now_s)
             case VersionNamed(model):
--- a/packages/daemon/src/knapweedbridge_daemon/serving/refusal_records.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/refusal_records.py
@@ -87,7 +87,7 @@
             self._note("refusal.not_recorded", mark, error=str(error))
             return
         if done.applied:
-            self._hub.crashes.published(mark, for_s, anyio.current_time())
+            self._hub.crashes.record_published(mark, for_s, anyio.current_time())
             self._note("refusal.recorded", mark, for_s=round(for_s, 1))
 
     async def _remove(self, mark: str) -> None:
