--- a/packages/core/src/knapweedbridge_core/events.py
+++ b/packages/core/src/knapweedbridge_core/events.py
@@ -23,7 +23,7 @@
     "EndpointProbed",
     "EndpointReported",
     "GenerationApplied",
-    "GenerationsAsked",
+    "GenerationsRequested",
     "HostsListed",
     "ListedHost",
     "OrderEnded",
@@ -134,7 +134,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class GenerationsAsked:
+class GenerationsRequested:
     """An operator wants to know which generation each member holds."""
 
 
--- a/packages/core/src/knapweedbridge_core/member_side.py
+++ b/packages/core/src/knapweedbridge_core/member_side.py
@@ -35,7 +35,7 @@
             events.DrainBegan: self._drain_began,
             events.DrainClosed: self._drain_closed,
             events.GenerationApplied: self._generation_taken,
-            events.GenerationsAsked: self._generations_asked,
+            events.GenerationsRequested: self._generations_asked,
             events.HostsListed: self._hosts_listed,
             events.PeerConnected: self._peer_linked,
             events.PeerDisconnected: self._peer_unlinked,
@@ -113,7 +113,7 @@
     def _generation_taken(self, event: events.GenerationApplied) -> None:
         self._beat(self._context.members.neighbours())
 
-    def _generations_asked(self, event: events.GenerationsAsked) -> None:
+    def _generations_asked(self, event: events.GenerationsRequested) -> None:
         # Heartbeats tell of the neighbours alone; the others are asked only
         # while an operator looks, so that nothing grows with the pool else.
         if self._context.now_s - self._generations_asked_s < ASK_GENERATIONS_S:
--- a/packages/daemon/src/knapweedbridge_daemon/administration.py
+++ b/packages/daemon/src/knapweedbridge_daemon/administration.py
@@ -179,7 +179,7 @@
         return {"generations": found}
 
     async def _status(self, request: Request, caller: Caller) -> Any:
-        await self._driver.submit(events.GenerationsAsked())
+        await self._driver.submit(events.GenerationsRequested())
         return inventory.status(self._driver)
 
     async def _adapters(self, request: Request, caller: Caller) -> Any:
