--- a/bench/peer_messages.py
+++ b/bench/peer_messages.py
@@ -158,7 +158,7 @@
                 await link._take("h1", decode(value))
 
     taken_us = await measure_us(take_all)
-    told_orders = [each.told_order for each in link._hub.cluster.fleet.engines()]
+    told_orders = [each.update_order for each in link._hub.cluster.fleet.engines()]
     assert sum(told_orders) == MESSAGES * ROWS, told_orders
     return taken_us / MESSAGES / ROWS
 
--- a/packages/core/src/knapweedbridge_core/serving/endpoint.py
+++ b/packages/core/src/knapweedbridge_core/serving/endpoint.py
@@ -135,7 +135,7 @@
     asked_all_s: float = float("-inf")
     first_listed_s: float = 0.0
     update_number: int = 0
-    told_order: int = 0
+    update_order: int = 0
     counted: deque[ReportedLoad] = field(
         default_factory=lambda: deque(maxlen=MAX_REPORTS_KEPT)
     )
@@ -229,18 +229,18 @@
 
     def is_new(self, message: EngineTold) -> bool:
         """Tell whether an owner's telling is newer than the last one taken."""
-        told = self.update_number, self.told_order
+        told = self.update_number, self.update_order
         # One of the same order was asked for, and made later than the change.
         return (message.number, message.order) >= told
 
     def is_next(self, message: EngineChanged) -> bool:
         """Tell whether a change is the next after the last telling taken."""
-        following = self.update_number, self.told_order + 1
+        following = self.update_number, self.update_order + 1
         return (message.number, message.order) == following
 
     def update_load(self, message: EngineTold | EngineChanged, now_s: float) -> None:
         """Take the calls of other daemons and what else every telling holds."""
-        self.update_number, self.told_order = message.number, message.order
+        self.update_number, self.update_order = message.number, message.order
         own = self._counted_in(now_s) if message.of_all else NO_REPORTED_LOAD
         self.others_calls = max(0, message.others_calls - own.calls)
         self.others_unread_tokens = max(
--- a/packages/core/src/knapweedbridge_core/serving/fleet.py
+++ b/packages/core/src/knapweedbridge_core/serving/fleet.py
@@ -198,7 +198,7 @@
         return EngineTold(
             endpoint.name,
             endpoint.update_number,
-            endpoint.told_order,
+            endpoint.update_order,
             held,
             endpoint.calls,
             endpoint.unread_tokens,
@@ -218,7 +218,7 @@
         endpoint = self.endpoints.get(message.endpoint)
         if endpoint is None:
             return False
-        told = endpoint.update_number, endpoint.told_order + 1
+        told = endpoint.update_number, endpoint.update_order + 1
         return (message.number, message.order) > told
 
     def take_changed(self, message: EngineChanged, now_s: float) -> bool:
