--- a/packages/core/src/knapweedbridge_core/estate.py
+++ b/packages/core/src/knapweedbridge_core/estate.py
@@ -71,7 +71,7 @@
     def may_grant(self, tenure: Tenure, model: AdapterVersion) -> bool:
         """Tell whether a grant given now is known to every later owner."""
         now_s = self._context.now_s
-        if not tenure.ready or self.owners.is_handing(tenure.endpoint):
+        if not tenure.ready or self.owners.is_handing_over(tenure.endpoint):
             return False
         fenced = tenure.checks_fencing
         if not fenced and not tenure.takeover.may_grant(model, now_s):
@@ -86,7 +86,7 @@
         now_s = self._context.now_s
         if not tenure.ready or not tenure.takeover.may_evict(now_s):
             return False
-        if self.owners.is_handing(tenure.endpoint):
+        if self.owners.is_handing_over(tenure.endpoint):
             return False
         if self.owners.holds(tenure.endpoint, now_s):
             return True
--- a/packages/core/src/knapweedbridge_core/owners.py
+++ b/packages/core/src/knapweedbridge_core/owners.py
@@ -74,7 +74,7 @@
             return False
         return self._lease.is_valid(now_s) and claim.epoch == self._lease.epoch
 
-    def is_handing(self, endpoint: str) -> bool:
+    def is_handing_over(self, endpoint: str) -> bool:
         """Tell whether the endpoint is on its way to another owner."""
         claim = self._claims.get(endpoint)
         return claim is not None and claim.stage in HELD_STAGES - {Stage.OWNING}
