--- a/packages/core/src/knapweedbridge_core/serving/messages.py
+++ b/packages/core/src/knapweedbridge_core/serving/messages.py
@@ -244,8 +244,8 @@
     mark_s: float = 0.0
 
 
-@message
-class StoreMarked:
+@message(tag="StoreMarked")
+class StoreMark:
     """A hearer marks a moment of its own clock at its relay; see `store_age`."""
 
     mark_s: float
--- a/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
@@ -16,7 +16,7 @@
     RelayAsked,
     ShareAsked,
     ShareGiven,
-    StoreMarked,
+    StoreMark,
     StoreUpdate,
     TurnGrant,
 )
@@ -92,7 +92,7 @@
         of_calls = get_args(OfPlain) + get_args(OfPermits)
         takers |= dict.fromkeys(of_calls, self._take_of_calls)
         takers |= dict.fromkeys(get_args(OfOrigins), self.resuming.heard)
-        of_relay = StoreUpdate, StoreMarked, RelayAsked
+        of_relay = StoreUpdate, StoreMark, RelayAsked
         takers |= dict.fromkeys(of_relay, self._take_of_relay)
         return takers | dict.fromkeys(get_args(ToOwner), self.owners.heard)
 
@@ -168,7 +168,7 @@
             self.relaying.engine_told(message)
 
     async def _take_of_relay(
-        self, daemon: str, message: StoreUpdate | StoreMarked | RelayAsked
+        self, daemon: str, message: StoreUpdate | StoreMark | RelayAsked
     ) -> None:
         """Take what a relay tells this daemon, or what a hearer asks of it."""
         if isinstance(message, StoreUpdate):
@@ -178,7 +178,7 @@
                 # went on by an old configuration, beside a relay that had the new one.
                 await self._ask_relay(daemon, RelayAsked(False, missed_after))
             await self._take_relayed(daemon, message)
-        elif isinstance(message, StoreMarked):
+        elif isinstance(message, StoreMark):
             self.relaying.marked(daemon, message.mark_s)
         else:
             await self.relaying.asked(daemon, message)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/store_marks.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/store_marks.py
@@ -2,7 +2,7 @@
 
 import anyio
 
-from knapweedbridge_core.serving.messages import StoreMarked
+from knapweedbridge_core.serving.messages import StoreMark
 from knapweedbridge_daemon.serving.hub import Hub, Send
 
 MARK_S = 0.4
@@ -34,7 +34,7 @@
         """Mark this moment at the relays that are to prove how old their news is."""
         now_s = self._hub.steady_s()
         for relay in self._relays(now_s):
-            await self._send(relay, StoreMarked(now_s))
+            await self._send(relay, StoreMark(now_s))
 
     def _relays(self, now_s: float) -> list[str]:
         identity, cluster = self._hub.identity, self._hub.cluster
