--- a/packages/core/src/knapweedbridge_core/serving/crash_parts.py
+++ b/packages/core/src/knapweedbridge_core/serving/crash_parts.py
@@ -179,7 +179,7 @@
             self.withdrawn.add(mark)
             self.to_clear.update(parts)
 
-    def unpublished(self, mark: str, now_s: float) -> None:
+    def record_unpublished(self, mark: str, now_s: float) -> None:
         """Record that the store says nothing of a refusal any more.
 
         One that ended with its lease is still refused by the hosts whose turn to try
--- a/packages/core/src/knapweedbridge_core/serving/crashes.py
+++ b/packages/core/src/knapweedbridge_core/serving/crashes.py
@@ -247,10 +247,10 @@
         else:
             self._published[mark] = now_s + for_s
 
-    def unpublished(self, mark: str, now_s: float) -> None:
+    def record_unpublished(self, mark: str, now_s: float) -> None:
         """Record that the store says nothing of a call any more."""
         if parts_refused(mark):
-            self.parts.unpublished(mark, now_s)
+            self.parts.record_unpublished(mark, now_s)
         else:
             self._published.pop(mark, None)
 
--- a/packages/daemon/src/knapweedbridge_daemon/serving/believing.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/believing.py
@@ -324,7 +324,7 @@
             case CallRefused(mark, for_s):
                 hub.crashes.record_published(mark, for_s, now_s)
             case CallAllowed(mark):
-                hub.crashes.unpublished(mark, now_s)
+                hub.crashes.record_unpublished(mark, now_s)
             case VersionNamed(model):
                 hub.patience.named(model)
             case DeploymentNamed(deployment):
