--- a/features/attempts/steps/core_steps.py
+++ b/features/attempts/steps/core_steps.py
@@ -188,7 +188,7 @@
 
 @when("its caller goes away")
 def caller_leaves(context):
-    context.core.tell(events.CallerLeft("r1"))
+    context.core.tell(events.CallerDisconnected("r1"))
 
 
 @then('what follows is "{what}"')
--- a/packages/core/src/knapweedbridge_core/events.py
+++ b/packages/core/src/knapweedbridge_core/events.py
@@ -14,7 +14,7 @@
     "AttemptCancelled",
     "AttemptEnded",
     "AttemptJudged",
-    "CallerLeft",
+    "CallerDisconnected",
     "ClaimsDue",
     "ConfigurationRead",
     "DrainBegan",
@@ -182,7 +182,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class CallerLeft:
+class CallerDisconnected:
     """The caller went away before its answer was whole."""
 
     request_id: str
--- a/packages/core/src/knapweedbridge_core/request_side.py
+++ b/packages/core/src/knapweedbridge_core/request_side.py
@@ -42,7 +42,7 @@
             events.RequestArrived: self._request_arrived,
             events.AttemptEnded: self._attempt_ended,
             events.AttemptCancelled: self._returns.cancelled,
-            events.CallerLeft: self._caller_left,
+            events.CallerDisconnected: self._caller_left,
             events.EndpointProbed: self._endpoint_probed,
             messages.GrantGiven: self._grant_given,
             messages.GrantRefused: self._grant_refused,
@@ -347,7 +347,7 @@
         if at_s <= self._context.now_s:
             self._route(live)
 
-    def _caller_left(self, event: events.CallerLeft) -> None:
+    def _caller_left(self, event: events.CallerDisconnected) -> None:
         live = self.live.get(event.request_id)
         if live is not None:
             self._returns.let_go(live, True)
--- a/packages/daemon/src/knapweedbridge_daemon/calls.py
+++ b/packages/daemon/src/knapweedbridge_daemon/calls.py
@@ -96,7 +96,7 @@
             self._driver.unfollow(request_id)
             if not self._finished:
                 with anyio.CancelScope(shield=True):
-                    await self._driver.submit(events.CallerLeft(request_id))
+                    await self._driver.submit(events.CallerDisconnected(request_id))
 
     async def _watch_caller(self, scope: anyio.CancelScope) -> None:
         while True:
