--- a/packages/core/src/knapweedbridge_core/serving/endpoint.py
+++ b/packages/core/src/knapweedbridge_core/serving/endpoint.py
@@ -274,7 +274,7 @@
         if self.published_speed and not self.is_heard(now_s):
             self.speed = self.published_speed = 0.0
 
-    def guess_others(self, daemons: int, now_s: float) -> None:
+    def estimate_others(self, daemons: int, now_s: float) -> None:
         """Take others to send as much as this daemon, where no owner tells.
 
         After a restart of all daemons callers come at once. Each daemon knew only its
--- a/packages/core/src/knapweedbridge_core/serving/fleet.py
+++ b/packages/core/src/knapweedbridge_core/serving/fleet.py
@@ -363,7 +363,7 @@
             each.forget_old_speed(now_s)
         if small:
             for each in engines:
-                each.guess_others(daemons, now_s)
+                each.estimate_others(daemons, now_s)
         else:
             self._assume_typical(engines, daemons, now_s)
 
