--- a/packages/core/src/knapweedbridge_core/owner_side.py
+++ b/packages/core/src/knapweedbridge_core/owner_side.py
@@ -250,4 +250,4 @@
             rose = messages.OwnerSuperseded(endpoint, tenure.number)
             self._context.send(self._context.sender, rose)
             return
-        self._take_changes(self.owners.superseded(endpoint, number))
+        self._take_changes(self.owners.record_superseded(endpoint, number))
--- a/packages/core/src/knapweedbridge_core/owners.py
+++ b/packages/core/src/knapweedbridge_core/owners.py
@@ -136,7 +136,7 @@
         self._claims[endpoint] = OwnerClaim(Stage.OWNING, number, epoch=-1)
         return True
 
-    def superseded(self, endpoint: str, number: int) -> list[Change]:
+    def record_superseded(self, endpoint: str, number: int) -> list[Change]:
         """Take that another owner has a number."""
         claim = self._claims.get(endpoint)
         if claim is None or claim.number >= number:
@@ -263,7 +263,7 @@
             return [], []
         if claim.stage is not Stage.OWNING:
             return [], []
-        return [], self.superseded(endpoint, max(found.number, claim.number + 1))
+        return [], self.record_superseded(endpoint, max(found.number, claim.number + 1))
 
     def _hand_read(
         self, endpoint: str, claim: OwnerClaim, reply: StoreReplied, now_s: float
@@ -276,7 +276,7 @@
             return [], []
         if (found.owner, found.number) != (self._host, claim.number):
             higher = max(found.number, claim.number + 1)
-            return [], self.superseded(endpoint, higher)
+            return [], self.record_superseded(endpoint, higher)
         return [self._write_successor(endpoint, claim, revision)], []
 
     @staticmethod
@@ -312,7 +312,7 @@
             # The lost write may land yet, so this daemon may not keep the endpoint.
             claim.stage = Stage.HANDING
             return [self._write_successor(endpoint, claim, revision)], []
-        return [], self.superseded(endpoint, max(found.number, claim.number + 1))
+        return [], self.record_superseded(endpoint, max(found.number, claim.number + 1))
 
     def _gave(
         self, endpoint: str, claim: OwnerClaim
