--- a/features/limits/steps/pool_steps.py
+++ b/features/limits/steps/pool_steps.py
@@ -4,7 +4,7 @@
 from behave import given, then, when
 
 from knapweedbridge_core.serving import DaemonRecord
-from knapweedbridge_core.serving.messages import RelayAsked
+from knapweedbridge_core.serving.messages import RelayRequest
 from knapweedbridge_core.serving.permit_messages import LimitHeard, LimitTold
 from knapweedbridge_daemon.serving.dialects import AnswerHead
 from knapweedbridge_daemon.serving.wire import ResponseHead
@@ -50,8 +50,8 @@
     await anyio.sleep(SETTLED_S)
     for centre in pool.daemons["h0"].hub.cluster.relays.values():
         first, second = centre
-        await pool.daemons[first].link.send(second, RelayAsked())
-        await pool.daemons[second].link.send(first, RelayAsked())
+        await pool.daemons[first].link.send(second, RelayRequest())
+        await pool.daemons[second].link.send(first, RelayRequest())
     await anyio.sleep(0.01)
     return pool
 
--- a/features/serving/steps/late_news_steps.py
+++ b/features/serving/steps/late_news_steps.py
@@ -5,7 +5,7 @@
 
 from knapweedbridge_core.serving import ClusterState, DaemonRecord
 from knapweedbridge_core.serving.cluster_state import DaemonNamed
-from knapweedbridge_core.serving.messages import RelayAsked, StoreUpdate
+from knapweedbridge_core.serving.messages import RelayRequest, StoreUpdate
 from knapweedbridge_daemon.serving.store_telling import pack_items
 from knapweedbridge_daemon.serving.told_items import ToldItems
 from knapweedbridge_daemon.store import StoreItem, StoreItems
@@ -312,7 +312,7 @@
 
 @then("it has asked h1 and h3 for what came after {revision:d}")
 def asked_both(context, revision):
-    question = RelayAsked(False, revision)
+    question = RelayRequest(False, revision)
     assert context.asked == [("h1", question), ("h3", question)], context.asked
 
 
--- a/features/serving/steps/relay_steps.py
+++ b/features/serving/steps/relay_steps.py
@@ -18,7 +18,7 @@
 from knapweedbridge_core.serving.messages import (
     EngineChanged,
     EngineTold,
-    RelayAsked,
+    RelayRequest,
     StoreUpdate,
 )
 from knapweedbridge_daemon.serving.believing import StoreFollower
@@ -166,7 +166,7 @@
         others = hearers(
             context.cluster.daemons.values(), "d1", context.relays[1], context.relays
         )
-        await context.relaying.asked(others[0], RelayAsked())
+        await context.relaying.asked(others[0], RelayRequest())
         await tell(context, now_s + 0.2)
 
     anyio.run(story)
--- a/packages/core/src/knapweedbridge_core/serving/messages.py
+++ b/packages/core/src/knapweedbridge_core/serving/messages.py
@@ -251,8 +251,8 @@
     mark_s: float
 
 
-@message
-class RelayAsked:
+@message(tag="RelayAsked")
+class RelayRequest:
     """A daemon asks a relay of its data centre for what it has missed.
 
     From then on, for some seconds, it hears that relay whichever is its own.
--- a/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
@@ -13,7 +13,7 @@
     EngineSnapshotRequest,
     EngineTold,
     OwnerAck,
-    RelayAsked,
+    RelayRequest,
     ShareAsked,
     ShareGiven,
     StoreMark,
@@ -92,7 +92,7 @@
         of_calls = get_args(OfPlain) + get_args(OfPermits)
         takers |= dict.fromkeys(of_calls, self._take_of_calls)
         takers |= dict.fromkeys(get_args(OfOrigins), self.resuming.heard)
-        of_relay = StoreUpdate, StoreMark, RelayAsked
+        of_relay = StoreUpdate, StoreMark, RelayRequest
         takers |= dict.fromkeys(of_relay, self._take_of_relay)
         return takers | dict.fromkeys(get_args(ToOwner), self.owners.heard)
 
@@ -168,7 +168,7 @@
             self.relaying.engine_told(message)
 
     async def _take_of_relay(
-        self, daemon: str, message: StoreUpdate | StoreMark | RelayAsked
+        self, daemon: str, message: StoreUpdate | StoreMark | RelayRequest
     ) -> None:
         """Take what a relay tells this daemon, or what a hearer asks of it."""
         if isinstance(message, StoreUpdate):
@@ -176,7 +176,7 @@
             if missed_after:
                 # A daemon that the store turns away has no other way to hear of it: it
                 # went on by an old configuration, beside a relay that had the new one.
-                await self._ask_relay(daemon, RelayAsked(False, missed_after))
+                await self._ask_relay(daemon, RelayRequest(False, missed_after))
             await self._take_relayed(daemon, message)
         elif isinstance(message, StoreMark):
             self.relaying.marked(daemon, message.mark_s)
@@ -242,9 +242,9 @@
 
     async def ask_relay(self, relay: str) -> None:
         """Ask a relay for all that it knows, and to be told from then on."""
-        await self._ask_relay(relay, RelayAsked())
+        await self._ask_relay(relay, RelayRequest())
 
-    async def _ask_relay(self, relay: str, message: RelayAsked) -> None:
+    async def _ask_relay(self, relay: str, message: RelayRequest) -> None:
         # Each relay by itself: one that keeps too little to catch up with it, asked
         # again and again, kept a daemon from asking the other one, which had it all.
         now_s = anyio.current_time()
--- a/packages/daemon/src/knapweedbridge_daemon/serving/relaying.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/relaying.py
@@ -20,7 +20,7 @@
 from knapweedbridge_core.serving.messages import (
     EngineChanged,
     EngineTold,
-    RelayAsked,
+    RelayRequest,
     StoreUpdate,
 )
 from knapweedbridge_daemon.serving.hub import Hub, Send
@@ -119,7 +119,7 @@
             self._marks.marked(daemon, mark_s, self._hub.steady_s())
             self._adopted_s[daemon] = anyio.current_time()
 
-    async def asked(self, daemon: str, message: RelayAsked) -> None:
+    async def asked(self, daemon: str, message: RelayRequest) -> None:
         """Tell a daemon what it has missed, and go on telling it for some seconds."""
         if not self.is_relay:
             return
