--- a/packages/core/src/knapweedbridge_core/serving/crashes.py
+++ b/packages/core/src/knapweedbridge_core/serving/crashes.py
@@ -185,7 +185,7 @@
         known = self._lost.items()
         self._lost = {each: at_s for each, at_s in known if now_s - at_s <= PROOF_S}
         self._lost.setdefault(start, first_s)
-        self.note_loss(start.endpoint, first_s)
+        self.record_loss_time(start.endpoint, first_s)
         found: dict[str, LossFound] = {}
         for each in recent:
             # What was sent when others had broken off already came to a lost endpoint.
@@ -209,7 +209,7 @@
             (at_s for at_s in closed_s if last_s - at_s <= MOMENT_S), default=now_s
         )
 
-    def note_loss(self, endpoint: str, at_s: float) -> None:
+    def record_loss_time(self, endpoint: str, at_s: float) -> None:
         """Record when an endpoint was lost, whatever is held for that."""
         self._moments.setdefault(endpoint, at_s)
         while len(self._moments) > MOMENTS_KEPT:
--- a/packages/daemon/src/knapweedbridge_daemon/serving/crash_watch.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/crash_watch.py
@@ -303,7 +303,7 @@
         now_s, crashes = loop_time_s(), self._hub.crashes
         match message:
             case CallsBlamed():
-                crashes.note_loss(message.endpoint.partition(" ")[0], now_s)
+                crashes.record_loss_time(message.endpoint.partition(" ")[0], now_s)
                 for mark in message.fingerprints:
                     crashes.told(mark, message.endpoint, now_s)
             case CallsCleared():
@@ -321,7 +321,7 @@
     async def _accused(self, daemon: str, message: PartsBlamed, now_s: float) -> None:
         """Receive another host's accusation, and object where a part is sound."""
         at_s = now_s - max(0.0, message.age_s)
-        self._hub.crashes.note_loss(message.loss.partition(" ")[0], at_s)
+        self._hub.crashes.record_loss_time(message.loss.partition(" ")[0], at_s)
         calls = lost_calls(message)
         sound = self._hub.crashes.parts.blamed(message.loss, calls, at_s)
         if sound:
