--- a/features/overload/steps/leaving_steps.py
+++ b/features/overload/steps/leaving_steps.py
@@ -58,7 +58,7 @@
 def attempt_ends(context, host, reason):
     request = request_of(context.pool, "r1", fingerprint="f")
     outcome = NotRun(Reason(reason))
-    judged = events.AttemptJudged(request, "r1.1", "draft-0", outcome)
+    judged = events.AttemptResult(request, "r1.1", "draft-0", outcome)
     context.pool.tell(host, judged)
     context.pool.clock.run(0.1)
 
--- a/packages/core/src/knapweedbridge_core/blame_side.py
+++ b/packages/core/src/knapweedbridge_core/blame_side.py
@@ -48,7 +48,7 @@
         return {
             events.Tick: self._tick,
             events.PeerConnected: self._peer_linked,
-            events.AttemptJudged: self._attempt_judged,
+            events.AttemptResult: self._attempt_judged,
             events.EndpointProbed: self._probed,
             messages.BlameTold: self._told,
             messages.BlameCleared: self._cleared,
@@ -57,7 +57,7 @@
     def _tick(self, event: events.Tick) -> None:
         self.blame.lapse(self._context.now_s)
 
-    def _attempt_judged(self, event: events.AttemptJudged) -> None:
+    def _attempt_judged(self, event: events.AttemptResult) -> None:
         outcome = event.outcome
         if isinstance(outcome, Complete):
             self._clear(event.request.fingerprint)
--- a/packages/core/src/knapweedbridge_core/events.py
+++ b/packages/core/src/knapweedbridge_core/events.py
@@ -13,7 +13,7 @@
     "AdapterMissed",
     "AttemptCancelled",
     "AttemptEnded",
-    "AttemptJudged",
+    "AttemptResult",
     "CallerDisconnected",
     "ClaimsDue",
     "ConfigurationRead",
@@ -281,7 +281,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class AttemptJudged:
+class AttemptResult:
     """The callers' side tells the other sides how an attempt ended."""
 
     request: Request
--- a/packages/core/src/knapweedbridge_core/leaving_side.py
+++ b/packages/core/src/knapweedbridge_core/leaving_side.py
@@ -29,7 +29,7 @@
         """See `Side.handlers`."""
         return {
             events.Tick: self._tick,
-            events.AttemptJudged: self._attempt_judged,
+            events.AttemptResult: self._attempt_judged,
             events.EndpointProbed: self._probed,
             events.EndpointDrained: self._drained,
             events.PeerConnected: self._peer_linked,
@@ -67,7 +67,7 @@
         near = members.available(entry.data_centre) or members.available()
         return rendezvous.choose(entry.name, near)
 
-    def _attempt_judged(self, event: events.AttemptJudged) -> None:
+    def _attempt_judged(self, event: events.AttemptResult) -> None:
         if not isinstance(event.outcome, NotRun):
             return
         if event.outcome.reason is Reason.ENDPOINT_LEAVING:
--- a/packages/core/src/knapweedbridge_core/request_side.py
+++ b/packages/core/src/knapweedbridge_core/request_side.py
@@ -303,7 +303,7 @@
             endpoint=live.endpoint,
             outcome=type(event.outcome).__name__,
         )
-        judged = events.AttemptJudged(
+        judged = events.AttemptResult(
             live.request, event.attempt_id, live.endpoint, event.outcome
         )
         self._context.dispatch(judged)
