--- a/features/listing/steps/removed_entry_steps.py
+++ b/features/listing/steps/removed_entry_steps.py
@@ -260,7 +260,7 @@
 )
 def all_lapse_owned(context, away_s, back_s):
     # Entries of engines that an owner tells of are not handed on for their adapters.
-    with mock.patch.object(Endpoint, "is_heard", lambda self, now_s: True):
+    with mock.patch.object(Endpoint, "has_recent_update", lambda self, now_s: True):
         all_lapse(context, away_s, back_s)
 
 
--- a/features/load/steps/load_steps.py
+++ b/features/load/steps/load_steps.py
@@ -33,10 +33,10 @@
 
 def guess_busy(fleet, engines, daemons, small, now_s):
     """Take unknown engines to run what the known ones do."""
-    heard = [each for each in engines if each.is_heard(now_s)]
+    heard = [each for each in engines if each.has_recent_update(now_s)]
     count = max(1, len(heard))
     for each in engines:
-        if not each.is_heard(now_s):
+        if not each.has_recent_update(now_s):
             each.others_calls = sum(one.others_calls for one in heard) // count
             each.others_unread_tokens = (
                 sum(one.others_unread_tokens for one in heard) // count
--- a/packages/core/src/knapweedbridge_core/serving/endpoint.py
+++ b/packages/core/src/knapweedbridge_core/serving/endpoint.py
@@ -265,13 +265,13 @@
                 return each
         return NO_REPORTED_LOAD
 
-    def is_heard(self, now_s: float) -> bool:
+    def has_recent_update(self, now_s: float) -> bool:
         """Tell whether its owner told of it lately."""
         return now_s - self.heard_s <= HEARD_LIFE_S
 
     def forget_old_speed(self, now_s: float) -> None:
         """Take the speed for unknown where its owner has not told of it lately."""
-        if self.published_speed and not self.is_heard(now_s):
+        if self.published_speed and not self.has_recent_update(now_s):
             self.speed = self.published_speed = 0.0
 
     def estimate_others(self, daemons: int, now_s: float) -> None:
--- a/packages/core/src/knapweedbridge_core/serving/fleet.py
+++ b/packages/core/src/knapweedbridge_core/serving/fleet.py
@@ -56,7 +56,7 @@
         endpoint.usable = True
         endpoint.record_listed()
         self._lapsed.pop(endpoint.name, None)
-        if not endpoint.is_heard(now_s):
+        if not endpoint.has_recent_update(now_s):
             # An owner's word is newer: the list is up to 2 s old, and does not say
             # when a load is done. Without it the list is all there is.
             endpoint.bases = set(record.bases)
@@ -377,7 +377,7 @@
         for as busy as those, idle engines made a third of the callers be refused. So
         the pool's calls are this daemon's own times the daemons, on all engines alike.
         """
-        unheard = [each for each in engines if not each.is_heard(now_s)]
+        unheard = [each for each in engines if not each.has_recent_update(now_s)]
         if not unheard:
             return
         share = daemons / len(engines)
--- a/packages/core/src/knapweedbridge_core/serving/placement.py
+++ b/packages/core/src/knapweedbridge_core/serving/placement.py
@@ -273,7 +273,7 @@
         load_s = ORDERS_S + (WARM_LOAD_S if warm else cold_s)
         # A version that is replaced must wait until no call runs on the old one.
         waits = int(ask.model in endpoint.held)
-        if endpoint.is_heard(now_s):
+        if endpoint.has_recent_update(now_s):
             waits += endpoint.places_free <= 0
             load_s += WANT_S * endpoint.wants
         load_s += NO_PLACE_S * waits
--- a/packages/daemon/src/knapweedbridge_daemon/serving/attempting.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/attempting.py
@@ -241,7 +241,7 @@
             self._link.crashes.note_lost(endpoint.name, "replaced")
         elif not proved.wrong_endpoint or model not in endpoint.held:
             call.refused.add(endpoint.name)
-        elif not endpoint.is_heard(now_s):
+        elif not endpoint.has_recent_update(now_s):
             # The platform's list was late: the adapter has been unloaded since.
             del endpoint.held[model]
         else:
--- a/packages/daemon/src/knapweedbridge_daemon/serving/believing.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/believing.py
@@ -304,7 +304,7 @@
         time, the entries of all engines took every daemon a tenth of its time.
         """
         known = self._hub.cluster.fleet.endpoints.get(endpoint)
-        if known is not None and not known.is_heard(now_s):
+        if known is not None and not known.has_recent_update(now_s):
             self._to_tell.add(key)
 
     def _note_unlisted(self, endpoint: str, revision: int, now_s: float) -> None:
--- a/packages/daemon/src/knapweedbridge_daemon/serving/relaying.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/relaying.py
@@ -237,5 +237,7 @@
 
     def _all_rows(self, now_s: float) -> list[EngineTold | EngineChanged]:
         fleet = self._hub.cluster.fleet
-        heard: list[Endpoint] = [e for e in fleet.engines() if e.is_heard(now_s)]
+        heard: list[Endpoint] = [
+            e for e in fleet.engines() if e.has_recent_update(now_s)
+        ]
         return [fleet.tell_all(each, now_s) for each in heard]
--- a/packages/standins/src/knapweedbridge_standins/serving_load/daemon.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_load/daemon.py
@@ -207,7 +207,7 @@
         self._tell(engine)
         if call.model not in endpoint.held:
             call.refused.add(engine)
-        elif not endpoint.is_heard(now_s):
+        elif not endpoint.has_recent_update(now_s):
             del endpoint.held[call.model]
         else:
             endpoint.held[call.model].ready_s = now_s + NOT_READY_S
