--- a/packages/core/src/knapweedbridge_core/owner_side.py
+++ b/packages/core/src/knapweedbridge_core/owner_side.py
@@ -83,7 +83,7 @@
         self._hand_over_if_due(entry, self.tenures[entry.name])
 
     def _hand_over_if_due(self, entry: EndpointEntry, tenure: Tenure) -> None:
-        successor = self.owners.computed(entry)
+        successor = self.owners.computed_owner(entry)
         elsewhere = successor not in (None, self._context.host)
         tenure.closing = elsewhere and self._estate.lease.is_valid(self._context.now_s)
         settled = tenure.takeover.may_evict(self._context.now_s) and tenure.ready
--- a/packages/core/src/knapweedbridge_core/owners.py
+++ b/packages/core/src/knapweedbridge_core/owners.py
@@ -79,7 +79,7 @@
         claim = self._claims.get(endpoint)
         return claim is not None and claim.stage in HELD_STAGES - {Stage.OWNING}
 
-    def computed(self, entry: EndpointEntry) -> str | None:
+    def computed_owner(self, entry: EndpointEntry) -> str | None:
         """Name the daemon that should own an endpoint."""
         return self._computed.owner(entry)
 
@@ -95,7 +95,9 @@
             elif claim.stage is Stage.READING_BACK and self._is_due(claim, now_s):
                 claim.since_s = now_s
                 actions.append(self._ask_back(entry.name))
-            elif self._is_due(claim, now_s) and self.computed(entry) == self._host:
+            elif (
+                self._is_due(claim, now_s) and self.computed_owner(entry) == self._host
+            ):
                 claim.stage, claim.since_s = Stage.READING, now_s
                 keys = (OWNER_KEY + entry.name, self._lease.key)
                 actions.append(StoreRead(f"owner-read:{entry.name}", keys))
