--- a/packages/core/src/knapweedbridge_core/serving/messages.py
+++ b/packages/core/src/knapweedbridge_core/serving/messages.py
@@ -269,8 +269,8 @@
     revision: int = 0
 
 
-@message
-class ShareAsked:
+@message(tag="ShareAsked")
+class QuotaRequest:
     """A daemon asks a keeper of an account's quota for units of its part.
 
     Parameters
--- a/packages/daemon/src/knapweedbridge_daemon/serving/quota_parts.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/quota_parts.py
@@ -13,7 +13,7 @@
     nearest_first,
     split,
 )
-from knapweedbridge_core.serving.messages import ShareAsked
+from knapweedbridge_core.serving.messages import QuotaRequest
 from knapweedbridge_core.serving.quotas import LEAST_WAIT_S, TAKE_OVER_S
 from knapweedbridge_daemon.serving.hub import Hub, suspended_clock_s
 
@@ -92,7 +92,7 @@
         found = self._splits.get(account)
         return found.keepers if found else []
 
-    def give(self, message: ShareAsked) -> Given:
+    def give(self, message: QuotaRequest) -> Given:
         """Give units of the part that is kept here, if one is."""
         self.refresh()
         found = self._splits.get(message.account)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/quota_shares.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/quota_shares.py
@@ -7,7 +7,7 @@
 import anyio
 
 from knapweedbridge_core.serving import ClientAccount, Given, QuotaPurse
-from knapweedbridge_core.serving.messages import ShareAsked, ShareGiven
+from knapweedbridge_core.serving.messages import QuotaRequest, ShareGiven
 from knapweedbridge_daemon.serving.dialects import Refusal
 from knapweedbridge_daemon.serving.hub import Hub, Send
 from knapweedbridge_daemon.serving.quota_parts import QuotaParts
@@ -137,12 +137,12 @@
         await self._send(keeper, self._question(account, purse, now_s))
 
     @staticmethod
-    def _question(account: str, purse: Purse, now_s: float) -> ShareAsked:
+    def _question(account: str, purse: Purse, now_s: float) -> QuotaRequest:
         held = purse.held.held(now_s)
         units = [waiter.units for waiter in purse.waiting]
         needed = max(0, units[0] - held) if units else 0
         ahead = purse.held.ahead(now_s) - (0 if units else held)
-        return ShareAsked(account, needed, sum(units[1:]), max(0, ahead))
+        return QuotaRequest(account, needed, sum(units[1:]), max(0, ahead))
 
     @staticmethod
     def _refuse_waiting(purse: Purse) -> None:
@@ -157,14 +157,14 @@
             waiter.has_units = True
             waiter.done.set()
 
-    async def heard(self, daemon: str, message: ShareAsked | ShareGiven) -> None:
+    async def heard(self, daemon: str, message: QuotaRequest | ShareGiven) -> None:
         """Take a daemon's question to a keeper, or a keeper's answer."""
-        if isinstance(message, ShareAsked):
+        if isinstance(message, QuotaRequest):
             await self._asked(daemon, message)
         else:
             await self._given(daemon, message)
 
-    async def _asked(self, daemon: str, message: ShareAsked) -> None:
+    async def _asked(self, daemon: str, message: QuotaRequest) -> None:
         given = self.parts.give(message)
         self._hub.measures.count("quota", "given" if given.units else "not_given")
         answer = ShareGiven(message.account, given.units, given.wait_s, given.is_known)
