--- a/features/runs/steps/tick_cost_steps.py
+++ b/features/runs/steps/tick_cost_steps.py
@@ -41,7 +41,7 @@
 
 @when("a member drains")
 def drains(context):
-    context.pool.tell("host-3", events.DrainBegan())
+    context.pool.tell("host-3", events.DrainStarted())
     context.pool.run(2.0)
 
 
--- a/packages/core/src/knapweedbridge_core/events.py
+++ b/packages/core/src/knapweedbridge_core/events.py
@@ -17,7 +17,7 @@
     "CallerDisconnected",
     "ClaimsDue",
     "ConfigurationRead",
-    "DrainBegan",
+    "DrainStarted",
     "DrainClosed",
     "EndpointDrained",
     "EndpointProbed",
@@ -100,7 +100,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class DrainBegan:
+class DrainStarted:
     """The daemon was asked to stop: it takes nothing new and hands over."""
 
 
--- a/packages/core/src/knapweedbridge_core/member_side.py
+++ b/packages/core/src/knapweedbridge_core/member_side.py
@@ -32,7 +32,7 @@
         """See `Side.handlers`."""
         return {
             events.Tick: self._tick,
-            events.DrainBegan: self._drain_began,
+            events.DrainStarted: self._drain_began,
             events.DrainClosed: self._drain_closed,
             events.GenerationApplied: self._generation_taken,
             events.GenerationsRequested: self._generations_asked,
@@ -100,7 +100,7 @@
             )
             self._context.send(host, heartbeat)
 
-    def _drain_began(self, event: events.DrainBegan) -> None:
+    def _drain_began(self, event: events.DrainStarted) -> None:
         self._context.members.draining = True
         self._own = self._own._replace(status=int(Status.DRAINING))
         self._deltas.add(self._own)
--- a/packages/core/src/knapweedbridge_core/owner_side.py
+++ b/packages/core/src/knapweedbridge_core/owner_side.py
@@ -43,7 +43,7 @@
         """See `Side.handlers`."""
         return {
             events.Tick: self._tick,
-            events.DrainBegan: self._drain_began,
+            events.DrainStarted: self._drain_began,
             events.PeerConnected: self._peer_linked,
             events.PeerMessage: self._peer_heard,
             events.StoreReplied: self._store_replied,
@@ -94,7 +94,7 @@
         for action in self.owners.hand_over(entry.name, successor, now_s):
             self._context.emit(action)
 
-    def _drain_began(self, event: events.DrainBegan) -> None:
+    def _drain_began(self, event: events.DrainStarted) -> None:
         for entry in self._context.engines():
             self._look_after(entry)
 
--- a/packages/daemon/src/knapweedbridge_daemon/draining.py
+++ b/packages/daemon/src/knapweedbridge_daemon/draining.py
@@ -102,7 +102,7 @@
     async def run(self) -> None:
         """Wait for the first signal and close the faces in order."""
         await self._began.wait()
-        await self._driver.submit(events.DrainBegan())
+        await self._driver.submit(events.DrainStarted())
         with anyio.move_on_after(self._grace_s):
             await self._cut.wait()
         await self._driver.submit(events.DrainClosed())
--- a/packages/standins/src/knapweedbridge_standins/history/world.py
+++ b/packages/standins/src/knapweedbridge_standins/history/world.py
@@ -228,7 +228,7 @@
     def drain(self, host: str) -> None:
         """Ask a daemon to hand over and end."""
         self.nodes[host].draining = True
-        self.tell(host, events.DrainBegan())
+        self.tell(host, events.DrainStarted())
 
     def cut(self, sender: str, receiver: str) -> None:
         """Let nothing pass from one daemon to another."""
