--- a/packages/core/src/knapweedbridge_core/serving/endpoint.py
+++ b/packages/core/src/knapweedbridge_core/serving/endpoint.py
@@ -16,7 +16,7 @@
 SUSPECT_LONGEST_S = 2.0
 """Longest pause, so that an endpoint that is back is found within it."""
 
-HEARD_LIFE_S = 3.0
+UPDATE_MAX_AGE_S = 3.0
 """Age of an owner's last telling past which an engine is known by the platform's list
 alone. Owners tell a small pool each change, the relays of a large one each second."""
 
@@ -267,7 +267,7 @@
 
     def has_recent_update(self, now_s: float) -> bool:
         """Tell whether its owner told of it lately."""
-        return now_s - self.heard_s <= HEARD_LIFE_S
+        return now_s - self.heard_s <= UPDATE_MAX_AGE_S
 
     def forget_old_speed(self, now_s: float) -> None:
         """Take the speed for unknown where its owner has not told of it lately."""
--- a/packages/core/src/knapweedbridge_core/serving/engine_teller.py
+++ b/packages/core/src/knapweedbridge_core/serving/engine_teller.py
@@ -19,7 +19,7 @@
 
 TELL_STILL_S = 1.0
 """Pause after which relays are told even if nothing changed: an engine that is not
-heard of for `endpoint.HEARD_LIFE_S` is taken to have no owner that tells."""
+heard of for `endpoint.UPDATE_MAX_AGE_S` is taken to have no owner that tells."""
 
 TELL_ALL_S = 3.0
 """Pause between tellings of all: a successor learns from them what is in use."""
