--- a/packages/core/src/knapweedbridge_core/grant_returns.py
+++ b/packages/core/src/knapweedbridge_core/grant_returns.py
@@ -38,7 +38,7 @@
         self._cancelling: dict[str, _HeldGrant] = {}
         self._unanswered: dict[str, _HeldGrant] = {}
 
-    def let_go(self, live: LiveRequest, maybe_running: bool) -> None:
+    def release_grant(self, live: LiveRequest, maybe_running: bool) -> None:
         """Give back the grant of a request's attempt, if it has or asked for one.
 
         Parameters
--- a/packages/core/src/knapweedbridge_core/request_side.py
+++ b/packages/core/src/knapweedbridge_core/request_side.py
@@ -234,7 +234,7 @@
             self._forget_grant(live)
 
     def _forget_grant(self, live: LiveRequest) -> None:
-        self._returns.let_go(live, False)
+        self._returns.release_grant(live, False)
         live.endpoint = ""
         live.attempts_unused += 1
 
@@ -311,7 +311,7 @@
         if isinstance(decision, GoOn):
             self._resume(live)
             return
-        self._returns.let_go(live, isinstance(event.outcome, Unknown))
+        self._returns.release_grant(live, isinstance(event.outcome, Unknown))
         if isinstance(decision, Again):
             self._again(live, decision.at_s)
         else:
@@ -321,7 +321,7 @@
     def _resume(self, live: LiveRequest) -> None:
         entry = self._context.configuration.endpoints.get(live.endpoint)
         if entry is None:
-            self._returns.let_go(live, True)
+            self._returns.release_grant(live, True)
             outcome = Unknown(Reason.RESUME_FAILED, live.delivered)
             self._finish(live.request.request_id, outcome)
             return
@@ -350,14 +350,14 @@
     def _caller_left(self, event: events.CallerDisconnected) -> None:
         live = self.live.get(event.request_id)
         if live is not None:
-            self._returns.let_go(live, True)
+            self._returns.release_grant(live, True)
             self._finish(event.request_id, Unknown(Reason.CANCELLED, live.delivered))
 
     def _expire_requests(self) -> None:
         for request_id, live in list(self.live.items()):
             if self._context.now_s < live.request.deadline_s:
                 continue
-            self._returns.let_go(live, True)
+            self._returns.release_grant(live, True)
             if live.dispatched and live.endpoint:
                 outcome: Outcome = Unknown(Reason.DEADLINE, live.delivered)
             else:
