--- a/packages/core/src/knapweedbridge_core/serving/messages.py
+++ b/packages/core/src/knapweedbridge_core/serving/messages.py
@@ -288,8 +288,8 @@
     ahead: int
 
 
-@message
-class ShareGiven:
+@message(tag="ShareGiven")
+class QuotaGrant:
     """A keeper gives units of its part, or says after how long it may.
 
     Parameters
--- a/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
@@ -13,9 +13,9 @@
     EngineSnapshotRequest,
     EngineTold,
     OwnerAck,
+    QuotaGrant,
     QuotaRequest,
     RelayRequest,
-    ShareGiven,
     StoreMark,
     StoreUpdate,
     TurnGrant,
@@ -87,7 +87,7 @@
             TurnGrant: self._take_turns,
             OwnerAck: self._take_answered,
         }
-        takers |= dict.fromkeys((QuotaRequest, ShareGiven), self.shares.heard)
+        takers |= dict.fromkeys((QuotaRequest, QuotaGrant), self.shares.heard)
         takers |= dict.fromkeys(get_args(OfLosses), self.crashes.heard)
         of_calls = get_args(OfPlain) + get_args(OfPermits)
         takers |= dict.fromkeys(of_calls, self._take_of_calls)
