--- a/features/plain/steps/memory_steps.py
+++ b/features/plain/steps/memory_steps.py
@@ -58,7 +58,7 @@
     while came < CALLERS or readers:
         while came < CALLERS and came * seconds / CALLERS <= now_s:
             came += 1
-            if budget.refuses(body * 1000):
+            if budget.must_refuse(body * 1000):
                 context.refused += 1
             else:
                 pause_s = PAUSES_S[reads]
--- a/packages/core/src/knapweedbridge_core/serving/memory_budget.py
+++ b/packages/core/src/knapweedbridge_core/serving/memory_budget.py
@@ -60,7 +60,7 @@
         """Count bytes that are held from now on; below zero, that are held no more."""
         self._held[kind] += size_bytes
 
-    def refuses(self, body_bytes: int) -> bool:
+    def must_refuse(self, body_bytes: int) -> bool:
         """Tell whether a new request must be refused, by the size of its body."""
         if not self.limit_bytes or not body_bytes:
             return False
--- a/packages/daemon/src/knapweedbridge_daemon/serving/held_memory.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/held_memory.py
@@ -60,7 +60,7 @@
         The reader of requests may ask this when it has read a head, so that the body of
         a refused request is never held.
         """
-        if not self._budget.refuses(body_bytes):
+        if not self._budget.must_refuse(body_bytes):
             return None
         self._hub.measures.count("requests", "no_memory")
         self._hub.log.info(
