--- a/packages/core/src/knapweedbridge_core/events.py
+++ b/packages/core/src/knapweedbridge_core/events.py
@@ -18,7 +18,7 @@
     "ClaimsDue",
     "ConfigurationRead",
     "DrainStarted",
-    "DrainClosed",
+    "DrainGraceEnded",
     "EndpointDrained",
     "EndpointProbed",
     "EndpointReported",
@@ -245,7 +245,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class DrainClosed:
+class DrainGraceEnded:
     """The grace of a drain is over: requests that still arrive are refused."""
 
 
--- a/packages/core/src/knapweedbridge_core/member_side.py
+++ b/packages/core/src/knapweedbridge_core/member_side.py
@@ -33,7 +33,7 @@
         return {
             events.Tick: self._tick,
             events.DrainStarted: self._drain_began,
-            events.DrainClosed: self._drain_closed,
+            events.DrainGraceEnded: self._drain_closed,
             events.GenerationApplied: self._generation_taken,
             events.GenerationsRequested: self._generations_asked,
             events.HostsListed: self._hosts_listed,
@@ -107,7 +107,7 @@
         self._context.record("daemon.draining")
         self._beat(self._context.members.neighbours())
 
-    def _drain_closed(self, event: events.DrainClosed) -> None:
+    def _drain_closed(self, event: events.DrainGraceEnded) -> None:
         self._context.members.refusing = True
 
     def _generation_taken(self, event: events.GenerationApplied) -> None:
--- a/packages/daemon/src/knapweedbridge_daemon/draining.py
+++ b/packages/daemon/src/knapweedbridge_daemon/draining.py
@@ -105,7 +105,7 @@
         await self._driver.submit(events.DrainStarted())
         with anyio.move_on_after(self._grace_s):
             await self._cut.wait()
-        await self._driver.submit(events.DrainClosed())
+        await self._driver.submit(events.DrainGraceEnded())
         self.closed.set()
         with anyio.move_on_after(self._bounds.timeout_s):
             await self._cut.wait()
