--- a/packages/core/src/knapweedbridge_core/serving/endpoint.py
+++ b/packages/core/src/knapweedbridge_core/serving/endpoint.py
@@ -20,7 +20,7 @@
 """Age of an owner's last telling past which an engine is known by the platform's list
 alone. Owners tell a small pool each change, the relays of a large one each second."""
 
-LOAD_LIFE_S = 1.0
+LOAD_MAX_AGE_S = 1.0
 """How long an owner's word of the calls of all daemons holds; it tells of changes
 within 0.06 s, so after this there were none, or there is no owner."""
 
@@ -280,7 +280,7 @@
         After a restart of all daemons callers come at once. Each daemon knew only its
         own calls, and sent all for a hot adapter to the one engine that has it.
         """
-        if now_s - self.heard_s > LOAD_LIFE_S:
+        if now_s - self.heard_s > LOAD_MAX_AGE_S:
             self.others_calls = self.own_calls * (daemons - 1)
             self.others_unread_tokens = self.own_unread_tokens * (daemons - 1)
 
