--- a/packages/core/src/knapweedbridge_core/grant_returns.py
+++ b/packages/core/src/knapweedbridge_core/grant_returns.py
@@ -77,7 +77,7 @@
         else:
             self._context.emit(Count("attempt.cancel_failed"))
 
-    def cancel_again(self) -> None:
+    def retry_cancels(self) -> None:
         """Send the cancels again that no endpoint confirmed, up to a bound."""
         # An endpoint that is gone confirms nothing: the grant goes back in the
         # end, and only a report newer than that lets the owner evict.
--- a/packages/core/src/knapweedbridge_core/request_side.py
+++ b/packages/core/src/knapweedbridge_core/request_side.py
@@ -51,7 +51,7 @@
 
     def _tick(self, event: events.Tick) -> None:
         self._expire_requests()
-        self._returns.cancel_again()
+        self._returns.retry_cancels()
         self._retry_waiting()
         self._let_in()
 
