--- a/packages/core/src/knapweedbridge_core/serving/messages.py
+++ b/packages/core/src/knapweedbridge_core/serving/messages.py
@@ -34,8 +34,8 @@
     adapter: str
 
 
-@message
-class CallsRunning:
+@message(tag="CallsRunning")
+class RunningCallsReport:
     """All calls of a daemon on one engine; this replaces what it said before.
 
     Parameters
--- a/packages/daemon/src/knapweedbridge_daemon/serving/engine_owning.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/engine_owning.py
@@ -19,9 +19,9 @@
 )
 from knapweedbridge_core.serving.engine_teller import TELL_LOAD_S, TELL_STILL_S
 from knapweedbridge_core.serving.messages import (
-    CallsRunning,
     OwnerAck,
     OwnershipClaimed,
+    RunningCallsReport,
 )
 from knapweedbridge_core.serving.ownership import OwnerRecord
 from knapweedbridge_core.serving.prompt_pacing import LEAST_PAUSE_S
@@ -134,7 +134,7 @@
         self.keeper.want(model, version, anyio.current_time())
         self._work.set()
 
-    def calls_running(self, daemon: str, message: CallsRunning) -> None:
+    def calls_running(self, daemon: str, message: RunningCallsReport) -> None:
         """Take all calls of one daemon on the engine."""
         start = EndpointStart(message.endpoint, message.started_ms)
         if not start.may_be(self.endpoint.start):
