--- a/bench/accounts.py
+++ b/bench/accounts.py
@@ -57,7 +57,7 @@
 
     def spend_held(number: int) -> None:
         now_s = number / 1e4
-        purse.note_use(CALL_UNITS, now_s)
+        purse.record_use(CALL_UNITS, now_s)
         purse.put(CALL_UNITS, now_s)
         purse.spend(CALL_UNITS, now_s)
 
--- a/packages/core/src/knapweedbridge_core/serving/quota_purse.py
+++ b/packages/core/src/knapweedbridge_core/serving/quota_purse.py
@@ -67,7 +67,7 @@
         if units > 0:
             self._lots.append((now_s + HELD_S, units))
 
-    def note_use(self, units: int, now_s: float) -> None:
+    def record_use(self, units: int, now_s: float) -> None:
         """Take that a call wants units, whether it gets them or not."""
         fading = math.exp(-(now_s - self._used_s) / USE_S)
         self._use_per_s = self._use_per_s * fading + units / USE_S
--- a/packages/daemon/src/knapweedbridge_daemon/serving/quota_shares.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/quota_shares.py
@@ -72,7 +72,7 @@
             return None
         units, now_s = account.quota.cost(tokens), anyio.current_time()
         purse = self._purses[account.name]
-        purse.held.note_use(units, now_s)
+        purse.held.record_use(units, now_s)
         if purse.waiting or not purse.held.spend(units, now_s):
             return await self._wait_for(account.name, purse, units)
         if purse.held.held(now_s) < purse.held.ahead(now_s) / 2:
--- a/packages/standins/src/knapweedbridge_standins/quota_pool/ways.py
+++ b/packages/standins/src/knapweedbridge_standins/quota_pool/ways.py
@@ -66,7 +66,7 @@
     def takes(self, host: Host, units: int, now_s: float) -> bool:
         """See `QuotaWay.takes`."""
         purse = self._purses.setdefault((host.name, host.started_s), QuotaPurse())
-        purse.note_use(units, now_s)
+        purse.record_use(units, now_s)
         if purse.spend(units, now_s):
             if purse.held(now_s) < purse.ahead(now_s) / 2:
                 self._ask(host, purse, 0, now_s)
