--- a/bench/overload_scenarios.py
+++ b/bench/overload_scenarios.py
@@ -273,7 +273,7 @@
     pool.clock.run(after_s)
     began_s = pool.clock.now_s
     if sign == "operator":
-        pool.tell("host-2", events.EndpointDrained("draft-1", True))
+        pool.tell("host-2", events.EndpointDrainRequested("draft-1", True))
     else:
         engine.leaving = True
         engine.refuses = sign == "refusal"
--- a/packages/core/src/knapweedbridge_core/events.py
+++ b/packages/core/src/knapweedbridge_core/events.py
@@ -19,7 +19,7 @@
     "ConfigurationRead",
     "DrainStarted",
     "DrainGraceEnded",
-    "EndpointDrained",
+    "EndpointDrainRequested",
     "EndpointProbed",
     "EndpointReported",
     "GenerationApplied",
@@ -273,7 +273,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class EndpointDrained:
+class EndpointDrainRequested:
     """An operator asked that an endpoint gets no new work, or that it may again."""
 
     endpoint: str
--- a/packages/core/src/knapweedbridge_core/leaving_side.py
+++ b/packages/core/src/knapweedbridge_core/leaving_side.py
@@ -31,7 +31,7 @@
             events.Tick: self._tick,
             events.AttemptResult: self._attempt_judged,
             events.EndpointProbed: self._probed,
-            events.EndpointDrained: self._drained,
+            events.EndpointDrainRequested: self._drained,
             events.PeerConnected: self._peer_linked,
             messages.LeavingTold: self._told,
         }
@@ -119,7 +119,7 @@
             self._context.record("endpoint.leaves", endpoint=endpoint, sign=sign.value)
         return new
 
-    def _drained(self, event: events.EndpointDrained) -> None:
+    def _drained(self, event: events.EndpointDrainRequested) -> None:
         self._order(event.endpoint, event.drained)
         told = messages.LeavingTold(event.endpoint, event.drained, True)
         self._context.broadcast(told)
--- a/packages/daemon/src/knapweedbridge_daemon/administration.py
+++ b/packages/daemon/src/knapweedbridge_daemon/administration.py
@@ -224,7 +224,7 @@
             endpoint=name,
             leaving=leaving,
         )
-        await self._driver.submit(events.EndpointDrained(name, leaving))
+        await self._driver.submit(events.EndpointDrainRequested(name, leaving))
         return {"endpoint": name, "ordered_to_leave": leaving}
 
     async def _timeline(self, request: Request, caller: Caller) -> Any:
