--- a/bench/mutants_serving.py
+++ b/bench/mutants_serving.py
@@ -126,7 +126,7 @@
     ),
     "endpoints that leave get new work": (
         "who is leaving",
-        [(Endpoint, "takes_work", lambda self, now_s: self.usable)],
+        [(Endpoint, "accepts_work", lambda self, now_s: self.usable)],
     ),
     "endpoints that fell out of the list are kept": (
         "who is leaving",
--- a/features/plain/steps/entry_steps.py
+++ b/features/plain/steps/entry_steps.py
@@ -129,7 +129,7 @@
 
 def in_use(hub):
     fleet, now_s = hub.cluster.fleet, anyio.current_time()
-    return {each.name: each for each in fleet.engines() if each.takes_work(now_s)}
+    return {each.name: each for each in fleet.engines() if each.accepts_work(now_s)}
 
 
 def good(**fields):
--- a/packages/core/src/knapweedbridge_core/serving/endpoint.py
+++ b/packages/core/src/knapweedbridge_core/serving/endpoint.py
@@ -150,7 +150,7 @@
         """Which start of which endpoint this is."""
         return self.record.start
 
-    def takes_work(self, now_s: float) -> bool:
+    def accepts_work(self, now_s: float) -> bool:
         """Tell whether it may get new calls."""
         is_listed = now_s < self.lapsed_until_s
         return self.usable and not self.leaves and is_listed
--- a/packages/core/src/knapweedbridge_core/serving/fleet.py
+++ b/packages/core/src/knapweedbridge_core/serving/fleet.py
@@ -320,7 +320,7 @@
         return [
             endpoint
             for endpoint in self._by_service.get(service, {}).values()
-            if endpoint.takes_work(now_s)
+            if endpoint.accepts_work(now_s)
         ]
 
     def open_to(self, service: str, now_s: float) -> list[Endpoint]:
@@ -338,7 +338,7 @@
             for endpoint in self._by_service.get(service, {}).values()
             if endpoint.suspect_until_s <= now_s
             and endpoint.pressure.closed_until_s <= now_s
-            and endpoint.takes_work(now_s)
+            and endpoint.accepts_work(now_s)
         ]
 
     def opens_s(self, service: str, now_s: float) -> float | None:
--- a/packages/core/src/knapweedbridge_core/serving/paced_engines.py
+++ b/packages/core/src/knapweedbridge_core/serving/paced_engines.py
@@ -30,5 +30,5 @@
         return [
             endpoint.pace_scale
             for endpoint in self._paced[but.record.service].values()
-            if endpoint is not but and endpoint.takes_work(now_s)
+            if endpoint is not but and endpoint.accepts_work(now_s)
         ]
--- a/packages/daemon/src/knapweedbridge_daemon/serving/attempting.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/attempting.py
@@ -121,7 +121,7 @@
 
     async def _may_send(self, call: Call, target: Target) -> bool:
         """Tell whether an endpoint takes a call that has waited for its turn."""
-        if not target.endpoint.takes_work(loop_time_s()):
+        if not target.endpoint.accepts_work(loop_time_s()):
             return False
         if not await self._link.permits.take(target.endpoint):
             return False
