--- a/packages/core/src/knapweedbridge_core/grant_returns.py
+++ b/packages/core/src/knapweedbridge_core/grant_returns.py
@@ -95,7 +95,7 @@
         """Remove and return a grant given back before its owner answered."""
         return self._unanswered.pop(attempt_id, None)
 
-    def forget_unanswered(self) -> None:
+    def expire_unanswered(self) -> None:
         """Forget the questions that no owner answers any more."""
         now_s = self._context.now_s
         self._unanswered = {
--- a/packages/core/src/knapweedbridge_core/request_side.py
+++ b/packages/core/src/knapweedbridge_core/request_side.py
@@ -220,7 +220,7 @@
             self._finish(request_id, outcome)
 
     def _retry_waiting(self) -> None:
-        self._returns.forget_unanswered()
+        self._returns.expire_unanswered()
         for live in list(self.live.values()):
             self._forget_lost_grant(live)
             if self._is_due(live):
