--- a/features/paths/steps/tunnel_steps.py
+++ b/features/paths/steps/tunnel_steps.py
@@ -19,7 +19,7 @@
     EndpointPaths,
     Forwarders,
 )
-from knapweedbridge_core.serving.tunnel_messages import TunnelAsked, TunnelOpened
+from knapweedbridge_core.serving.tunnel_messages import TunnelOpened, TunnelRequest
 from knapweedbridge_daemon.handshake import Handshake
 from knapweedbridge_daemon.peer_sockets import PeerListener, connect_peer
 from knapweedbridge_daemon.peers import Peers
@@ -159,7 +159,7 @@
         )
         stream = await connect_peer("127.0.0.1", path.ports[0][2])
         await Handshake("host-9", 1, secret).greet(stream, "host-0")
-        await stream.send(encode(TunnelAsked(desk.name, desk.entry()["address"])))
+        await stream.send(encode(TunnelRequest(desk.name, desk.entry()["address"])))
         await anyio.sleep(0.05)
         stream.raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         stream.abort()
--- a/packages/core/src/knapweedbridge_core/serving/tunnel_messages.py
+++ b/packages/core/src/knapweedbridge_core/serving/tunnel_messages.py
@@ -8,8 +8,8 @@
 from knapweedbridge_core.codec import message
 
 
-@message
-class TunnelAsked:
+@message(tag="TunnelAsked")
+class TunnelRequest:
     """A daemon asks another for a connection to an endpoint.
 
     Parameters
--- a/packages/daemon/src/knapweedbridge_daemon/peers.py
+++ b/packages/daemon/src/knapweedbridge_daemon/peers.py
@@ -21,7 +21,7 @@
 from knapweedbridge_core.codec import decode, encode, unpacker
 from knapweedbridge_core.errors import MessageError, UnknownMessageError
 from knapweedbridge_core.peer_events import PeerConnected, PeerDisconnected, PeerMessage
-from knapweedbridge_core.serving.tunnel_messages import TunnelAsked
+from knapweedbridge_core.serving.tunnel_messages import TunnelRequest
 from knapweedbridge_core.timeline import HybridClock
 from knapweedbridge_daemon.errors import PeerError
 from knapweedbridge_daemon.handshake import Handshake
@@ -50,7 +50,7 @@
 )
 
 Submit = Callable[[Any], Awaitable[None]]
-ServeTunnel = Callable[[str, PeerSocket, TunnelAsked], Awaitable[None]]
+ServeTunnel = Callable[[str, PeerSocket, TunnelRequest], Awaitable[None]]
 
 
 def _now_s() -> float:
@@ -276,7 +276,7 @@
                 heard = self._admit(greeting.host, greeting.incarnation)
                 each = StreamIn(stream, _now_s())
                 heard.streams.append(each)
-                asked: TunnelAsked | None = None
+                asked: TunnelRequest | None = None
                 try:
                     with each.scope:
                         asked = await self._hear(greeting.host, each)
@@ -300,7 +300,7 @@
             raise PeerError(f"{host} was started anew since")
         return heard
 
-    async def _hear(self, host: str, each: StreamIn) -> TunnelAsked:
+    async def _hear(self, host: str, each: StreamIn) -> TunnelRequest:
         """Take a peer's messages, and return the one that asks for a tunnel."""
         reader = unpacker()
         while True:
@@ -318,7 +318,7 @@
                         # A host that was upgraded first says more than this one knows.
                         self.bytes.unknown_messages += 1
                         continue
-                    if isinstance(message, TunnelAsked):
+                    if isinstance(message, TunnelRequest):
                         return message
                     await self._submit(PeerMessage(host, message))
             except (MessageError, msgpack.UnpackException, ValueError) as error:
--- a/packages/daemon/src/knapweedbridge_daemon/serving/forwarding.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/forwarding.py
@@ -9,9 +9,9 @@
 from knapweedbridge_core.addresses import split_address
 from knapweedbridge_core.codec import encode
 from knapweedbridge_core.serving.tunnel_messages import (
-    TunnelAsked,
     TunnelOpened,
     TunnelRefused,
+    TunnelRequest,
 )
 from knapweedbridge_daemon.peer_sockets import PeerSocket
 from knapweedbridge_daemon.peers import STREAM_ERRORS
@@ -54,7 +54,7 @@
         self._most = most
         self.tunnels = 0
 
-    async def serve(self, host: str, stream: PeerSocket, asked: TunnelAsked) -> None:
+    async def serve(self, host: str, stream: PeerSocket, asked: TunnelRequest) -> None:
         """Answer a host's question for a tunnel, and carry it to its end."""
         reason = self._refusal(asked)
         if reason:
@@ -66,7 +66,7 @@
         finally:
             self.tunnels -= 1
 
-    def _refusal(self, asked: TunnelAsked) -> str:
+    def _refusal(self, asked: TunnelRequest) -> str:
         hub = self._hub
         endpoint = hub.cluster.fleet.endpoints.get(asked.endpoint)
         if hub.draining:
@@ -80,7 +80,7 @@
         return "cut" if hub.paths.is_cut(asked.address) else ""
 
     async def _refuse(
-        self, host: str, stream: PeerSocket, asked: TunnelAsked, reason: str
+        self, host: str, stream: PeerSocket, asked: TunnelRequest, reason: str
     ) -> None:
         self._hub.measures.count("tunnels_asked", reason)
         self._hub.log.info(
@@ -90,7 +90,7 @@
         await self._await_close(stream)
 
     async def _connect_and_carry(
-        self, host: str, stream: PeerSocket, asked: TunnelAsked
+        self, host: str, stream: PeerSocket, asked: TunnelRequest
     ) -> None:
         try:
             with anyio.fail_after(CONNECT_S):
--- a/packages/daemon/src/knapweedbridge_daemon/serving/tunnels.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/tunnels.py
@@ -10,9 +10,9 @@
 from knapweedbridge_core.errors import MessageError
 from knapweedbridge_core.serving import Forwarders
 from knapweedbridge_core.serving.tunnel_messages import (
-    TunnelAsked,
     TunnelOpened,
     TunnelRefused,
+    TunnelRequest,
 )
 from knapweedbridge_daemon.errors import PeerError
 from knapweedbridge_daemon.handshake import Handshake
@@ -78,7 +78,7 @@
 
     async def ask(self, destination: Destination) -> TunnelOpened | TunnelRefused:
         """Ask for a connection to an endpoint; raises PeerError or stream errors."""
-        asked = TunnelAsked(destination.endpoint, destination.address)
+        asked = TunnelRequest(destination.endpoint, destination.address)
         await self._stream.send(encode(asked))
         try:
             while True:
