--- a/features/serving/steps/decision_steps.py
+++ b/features/serving/steps/decision_steps.py
@@ -281,7 +281,7 @@
         budget = RetryBudget(0.2, 54, 10)
         for _ in range(requests):
             budget.note_request("s", NOW_S)
-        budget.note_daemons(daemons, NOW_S)
+        budget.record_daemons(daemons, NOW_S)
         while budget.spend("s", NOW_S):
             context.repeats += 1
 
@@ -344,7 +344,7 @@
                 host.sent("s", now_s)
                 self.arrivals_s.append(now_s)
             for host in hosts:
-                host.note_daemons(self.listed(now_s), now_s)
+                host.record_daemons(self.listed(now_s), now_s)
                 if tenth % 10 == 0:
                     host.note_request("s", now_s)
                     self.requests_s.append(now_s)
--- a/packages/core/src/knapweedbridge_core/serving/retry_budget.py
+++ b/packages/core/src/knapweedbridge_core/serving/retry_budget.py
@@ -86,7 +86,7 @@
         self._daemons: deque[tuple[float, int]] = deque()
         self._started_s = started_s
 
-    def note_daemons(self, daemons: int, now_s: float) -> None:
+    def record_daemons(self, daemons: int, now_s: float) -> None:
         """Record how many daemons are listed, this one among them.
 
         The most of a window share the slack: records go missing with their leases.
