--- a/bench/pool.py
+++ b/bench/pool.py
@@ -114,7 +114,7 @@
             found = {
                 key: self._values[key] for key in action.keys if key in self._values
             }
-            replied = events.StoreReplied(action.token, True, True, found)
+            replied = events.StoreResponse(action.token, True, True, found)
             self._queue.append((host, replied))
         elif isinstance(action, StoreWrite):
             self.costs.store["write"] += 1
@@ -131,14 +131,14 @@
             )
             self._queue.append((host, ended))
 
-    def _write(self, action: StoreWrite) -> events.StoreReplied:
+    def _write(self, action: StoreWrite) -> events.StoreResponse:
         held = {key: self._values.get(key, (b"", 0))[1] for key in action.compares}
         applied = held == action.compares
         if applied:
             self._revision += 1
             for key, value in action.puts.items():
                 self._values[key] = (value, self._revision)
-        return events.StoreReplied(action.token, True, applied, {})
+        return events.StoreResponse(action.token, True, applied, {})
 
     def run(self, seconds: float) -> None:
         """Let time go on for all cores."""
--- a/bench/requests_attempts.py
+++ b/bench/requests_attempts.py
@@ -176,7 +176,7 @@
             self._values.update({key: (value, 1) for key, value in action.puts.items()})
         keys = action.keys if isinstance(action, StoreRead) else ()
         values = {key: self._values[key] for key in keys if key in self._values}
-        replied = events.StoreReplied(action.token, True, True, values)
+        replied = events.StoreResponse(action.token, True, True, values)
         self.after(STORE_S, lambda: self.tell(replied))
 
     def _dispatch(self, action: Dispatch) -> None:
--- a/features/attempts/steps/claim_steps.py
+++ b/features/attempts/steps/claim_steps.py
@@ -120,7 +120,7 @@
             self.after(LATE_S, lambda: self.apply(action))
         elif self.store != "down":
             applied = self.apply(action)
-        replied = events.StoreReplied(token, known, known and applied, values)
+        replied = events.StoreResponse(token, known, known and applied, values)
         self.tell_later(delay_s, host, replied)
 
     def apply(self, action):
--- a/features/path/steps/bridge_steps.py
+++ b/features/path/steps/bridge_steps.py
@@ -47,7 +47,7 @@
 
     def _answer(self, action):
         if isinstance(action, (StoreRead, StoreWrite)):
-            self.tell(events.StoreReplied(action.token, True, True, {}))
+            self.tell(events.StoreResponse(action.token, True, True, {}))
         elif isinstance(action, RequestReport):
             self.tell(events.EndpointReported(action.endpoint, (), {}, self.now_s))
 
--- a/features/placement/steps/daemon_steps.py
+++ b/features/placement/steps/daemon_steps.py
@@ -41,7 +41,7 @@
         for action in self.bridge.handle(event, self.now_s):
             self.actions.append(action)
             if isinstance(action, (StoreRead, StoreWrite)):
-                self.tell(events.StoreReplied(action.token, True, True, {}))
+                self.tell(events.StoreResponse(action.token, True, True, {}))
             elif isinstance(action, RequestReport):
                 held = self.bridge.ledgers.get(action.endpoint)
                 loaded = tuple(held.loaded) if held else ()
--- a/packages/core/src/knapweedbridge_core/claim_keeper.py
+++ b/packages/core/src/knapweedbridge_core/claim_keeper.py
@@ -61,7 +61,7 @@
         return {
             events.Tick: self._tick,
             events.ClaimsDue: self._due,
-            events.StoreReplied: self._replied,
+            events.StoreResponse: self._replied,
             messages.ClaimAsk: self._asked,
             messages.ClaimEnded: self._ended,
         }
@@ -127,7 +127,7 @@
         self._context.emit(Count("claim.written", len(puts)))
         self._context.emit(ClaimWrite(self._token, compares, puts))
 
-    def _replied(self, event: events.StoreReplied) -> None:
+    def _replied(self, event: events.StoreResponse) -> None:
         if event.token != self._token or not self._batch:
             return
         reading = event.token.startswith("claims-read")
--- a/packages/core/src/knapweedbridge_core/events.py
+++ b/packages/core/src/knapweedbridge_core/events.py
@@ -34,7 +34,7 @@
     "Request",
     "RequestArrived",
     "RootRead",
-    "StoreReplied",
+    "StoreResponse",
     "Tick",
 ]
 
@@ -223,7 +223,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class StoreReplied:
+class StoreResponse:
     """The key-value service answered, or did not.
 
     Parameters
--- a/packages/core/src/knapweedbridge_core/grant_side.py
+++ b/packages/core/src/knapweedbridge_core/grant_side.py
@@ -45,7 +45,7 @@
         """See `Side.handlers`."""
         return {
             events.Tick: self._tick,
-            events.StoreReplied: self._store_replied,
+            events.StoreResponse: self._store_replied,
             messages.GrantRequest: self._grant_ask,
             messages.GrantReturned: self._grant_returned,
             messages.HeldGrants: self._grants_held,
@@ -157,7 +157,7 @@
         key = (LIVENESS_PREFIX + host,)
         self._context.emit(StoreRead(f"{LIFE_TOKEN}:{host}", key))
 
-    def _store_replied(self, event: events.StoreReplied) -> None:
+    def _store_replied(self, event: events.StoreResponse) -> None:
         kind, _, host = event.token.partition(":")
         if kind != LIFE_TOKEN or not event.known:
             return
--- a/packages/core/src/knapweedbridge_core/leases.py
+++ b/packages/core/src/knapweedbridge_core/leases.py
@@ -5,7 +5,7 @@
 import msgpack
 
 from knapweedbridge_core.actions import Action, StoreWrite
-from knapweedbridge_core.events import StoreReplied
+from knapweedbridge_core.events import StoreResponse
 from knapweedbridge_core.times import (
     CALL_LIMIT_S,
     CLOCK_MARGIN_S,
@@ -58,7 +58,7 @@
             return []
         return [self._write(now_s)] if now_s >= self._due_s else []
 
-    def replied(self, reply: StoreReplied, now_s: float) -> list[Action]:
+    def replied(self, reply: StoreResponse, now_s: float) -> list[Action]:
         """Take the reply to a renewal."""
         if reply.token != f"lease:{self._calls}":
             return []
--- a/packages/core/src/knapweedbridge_core/owner_side.py
+++ b/packages/core/src/knapweedbridge_core/owner_side.py
@@ -46,7 +46,7 @@
             events.DrainStarted: self._drain_began,
             events.PeerConnected: self._peer_linked,
             events.PeerMessage: self._peer_heard,
-            events.StoreReplied: self._store_replied,
+            events.StoreResponse: self._store_replied,
             events.EndpointReported: self._endpoint_reported,
             messages.EndpointUpdate: self._slots_changed,
             messages.OwnerSuperseded: self._owner_rose,
@@ -98,7 +98,7 @@
         for entry in self._context.engines():
             self._look_after(entry)
 
-    def _store_replied(self, event: events.StoreReplied) -> None:
+    def _store_replied(self, event: events.StoreResponse) -> None:
         now_s = self._context.now_s
         if event.token.startswith("lease:"):
             before = self._estate.lease.epoch
--- a/packages/core/src/knapweedbridge_core/owners.py
+++ b/packages/core/src/knapweedbridge_core/owners.py
@@ -8,7 +8,7 @@
 from knapweedbridge_core.actions import Action, Record, StoreRead, StoreWrite
 from knapweedbridge_core.computed_owners import ComputedOwners
 from knapweedbridge_core.configuration import EndpointEntry
-from knapweedbridge_core.events import StoreReplied
+from knapweedbridge_core.events import StoreResponse
 from knapweedbridge_core.leases import LIVENESS_PREFIX, DaemonLease, incarnation_in
 from knapweedbridge_core.members import Members
 from knapweedbridge_core.owner_claims import (
@@ -148,7 +148,7 @@
         return [Lost(endpoint)] if held else []
 
     def replied(
-        self, reply: StoreReplied, now_s: float
+        self, reply: StoreResponse, now_s: float
     ) -> tuple[list[Action], list[Change]]:
         """Take a reply of the service."""
         step, _, endpoint = reply.token.partition(":")
@@ -159,13 +159,13 @@
         return taker(endpoint, claim, reply, now_s)
 
     @staticmethod
-    def _record_in(reply: StoreReplied, endpoint: str) -> tuple[OwnerRecord, int]:
+    def _record_in(reply: StoreResponse, endpoint: str) -> tuple[OwnerRecord, int]:
         value, revision = reply.values.get(OWNER_KEY + endpoint, (b"", 0))
         found = OwnerRecord.unpack(value) if value else OwnerRecord("", 0, 0)
         return found, revision
 
     def _read(
-        self, endpoint: str, claim: OwnerClaim, reply: StoreReplied, now_s: float
+        self, endpoint: str, claim: OwnerClaim, reply: StoreResponse, now_s: float
     ) -> tuple[list[Action], list[Change]]:
         if claim.stage is not Stage.READING:
             return [], []
@@ -184,7 +184,7 @@
         return [StoreRead(f"owner-life:{endpoint}", (key,))], []
 
     def _read_life(
-        self, endpoint: str, claim: OwnerClaim, reply: StoreReplied, now_s: float
+        self, endpoint: str, claim: OwnerClaim, reply: StoreResponse, now_s: float
     ) -> tuple[list[Action], list[Change]]:
         if claim.stage is not Stage.READING_LIFE or claim.found is None:
             return [], []
@@ -217,7 +217,7 @@
         return claim.written
 
     def _claimed(
-        self, endpoint: str, claim: OwnerClaim, reply: StoreReplied, now_s: float
+        self, endpoint: str, claim: OwnerClaim, reply: StoreResponse, now_s: float
     ) -> tuple[list[Action], list[Change]]:
         if claim.stage is not Stage.CLAIMING:
             return [], []
@@ -235,7 +235,7 @@
         return [Record("owner.claimed", fields)], [change]
 
     def _read_back(
-        self, endpoint: str, claim: OwnerClaim, reply: StoreReplied, now_s: float
+        self, endpoint: str, claim: OwnerClaim, reply: StoreResponse, now_s: float
     ) -> tuple[list[Action], list[Change]]:
         if claim.stage is not Stage.READING_BACK or not reply.known:
             return [], []
@@ -255,7 +255,7 @@
         return StoreRead(f"owner-back:{endpoint}", (OWNER_KEY + endpoint,))
 
     def _verified(
-        self, endpoint: str, claim: OwnerClaim, reply: StoreReplied, now_s: float
+        self, endpoint: str, claim: OwnerClaim, reply: StoreResponse, now_s: float
     ) -> tuple[list[Action], list[Change]]:
         if claim.stage not in HELD_STAGES or not reply.known:
             return [], []
@@ -268,7 +268,7 @@
         return [], self.record_superseded(endpoint, max(found.number, claim.number + 1))
 
     def _hand_read(
-        self, endpoint: str, claim: OwnerClaim, reply: StoreReplied, now_s: float
+        self, endpoint: str, claim: OwnerClaim, reply: StoreResponse, now_s: float
     ) -> tuple[list[Action], list[Change]]:
         if claim.stage is not Stage.HANDING:
             return [], []
@@ -289,7 +289,7 @@
         return StoreWrite(f"owner-hand:{endpoint}", {key: revision}, puts)
 
     def _handed(
-        self, endpoint: str, claim: OwnerClaim, reply: StoreReplied, now_s: float
+        self, endpoint: str, claim: OwnerClaim, reply: StoreResponse, now_s: float
     ) -> tuple[list[Action], list[Change]]:
         if claim.stage is not Stage.HANDING:
             return [], []
@@ -303,7 +303,7 @@
         return StoreRead(f"owner-hand-back:{endpoint}", (OWNER_KEY + endpoint,))
 
     def _handed_back(
-        self, endpoint: str, claim: OwnerClaim, reply: StoreReplied, now_s: float
+        self, endpoint: str, claim: OwnerClaim, reply: StoreResponse, now_s: float
     ) -> tuple[list[Action], list[Change]]:
         if claim.stage is not Stage.HANDING_BACK or not reply.known:
             return [], []
--- a/packages/daemon/src/knapweedbridge_daemon/claims.py
+++ b/packages/daemon/src/knapweedbridge_daemon/claims.py
@@ -3,7 +3,7 @@
 import time
 
 from knapweedbridge_core.actions import ClaimWrite
-from knapweedbridge_core.events import StoreReplied
+from knapweedbridge_core.events import StoreResponse
 from knapweedbridge_daemon.errors import StoreError
 from knapweedbridge_daemon.store import KeyValueStore, Transaction
 
@@ -28,7 +28,7 @@
         self._lease = ""
         self._leased_s = 0.0
 
-    async def write(self, action: ClaimWrite) -> StoreReplied:
+    async def write(self, action: ClaimWrite) -> StoreResponse:
         """Write claims and return the reply for the core."""
         known, applied = True, False
         try:
@@ -39,7 +39,7 @@
             known = not error.may_have_applied
             # The service may have lost the lease with its memory.
             self._lease = ""
-        return StoreReplied(action.token, known, applied, {})
+        return StoreResponse(action.token, known, applied, {})
 
     async def _current_lease(self) -> str:
         now_s = time.monotonic()
--- a/packages/daemon/src/knapweedbridge_daemon/driver.py
+++ b/packages/daemon/src/knapweedbridge_daemon/driver.py
@@ -242,7 +242,7 @@
                     values[key] = found
         except StoreError:
             known = False
-        await self.submit(events.StoreReplied(action.token, known, known, values))
+        await self.submit(events.StoreResponse(action.token, known, known, values))
 
     async def _write(self, action: StoreWrite) -> None:
         if action.lease_s:
@@ -254,4 +254,4 @@
             applied = await self._store.write(transaction)
         except StoreError as error:
             known = not error.may_have_applied
-        await self.submit(events.StoreReplied(action.token, known, applied, {}))
+        await self.submit(events.StoreResponse(action.token, known, applied, {}))
--- a/packages/daemon/src/knapweedbridge_daemon/leases.py
+++ b/packages/daemon/src/knapweedbridge_daemon/leases.py
@@ -1,7 +1,7 @@
 """Keys that hang on leases of the key-value service."""
 
 from knapweedbridge_core.actions import StoreWrite
-from knapweedbridge_core.events import StoreReplied
+from knapweedbridge_core.events import StoreResponse
 from knapweedbridge_daemon.errors import StoreError
 from knapweedbridge_daemon.store import KeyValueStore, Transaction
 
@@ -19,13 +19,13 @@
         self._store = store
         self._leases: dict[str, str] = {}
 
-    async def write(self, action: StoreWrite) -> StoreReplied:
+    async def write(self, action: StoreWrite) -> StoreResponse:
         """Write keys on a new lease, or renew the one they hang on."""
         try:
             applied = await self._write(action)
         except StoreError:
-            return StoreReplied(action.token, False, False, {})
-        return StoreReplied(action.token, True, applied, {})
+            return StoreResponse(action.token, False, False, {})
+        return StoreResponse(action.token, True, applied, {})
 
     async def _write(self, action: StoreWrite) -> bool:
         name = ",".join(sorted(action.puts))
--- a/packages/standins/src/knapweedbridge_standins/history/store.py
+++ b/packages/standins/src/knapweedbridge_standins/history/store.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field
 
 from knapweedbridge_core.actions import StoreRead, StoreWrite
-from knapweedbridge_core.events import StoreReplied
+from knapweedbridge_core.events import StoreResponse
 
 
 @dataclass(slots=True)
@@ -41,18 +41,20 @@
                 del self.ends_s[key]
                 self.values.pop(key, None)
 
-    def call(self, action: StoreRead | StoreWrite, now_s: float) -> StoreReplied | None:
+    def call(
+        self, action: StoreRead | StoreWrite, now_s: float
+    ) -> StoreResponse | None:
         """Carry out a call; None where the reply is lost."""
         self.calls += 1
         self.expire(now_s)
         if isinstance(action, StoreRead):
             found = {key: self.values[key] for key in action.keys if key in self.values}
-            return StoreReplied(action.token, True, True, found)
+            return StoreResponse(action.token, True, True, found)
         applied = self._write(action, now_s)
         if self.lose_replies > 0 and not action.lease_s:
             self.lose_replies -= 1
             return None
-        return StoreReplied(action.token, True, applied, {})
+        return StoreResponse(action.token, True, applied, {})
 
     def _write(self, action: StoreWrite, now_s: float) -> bool:
         for key, revision in action.compares.items():
--- a/packages/standins/src/knapweedbridge_standins/history/world.py
+++ b/packages/standins/src/knapweedbridge_standins/history/world.py
@@ -333,7 +333,7 @@
             reply = None
             if not store.down and host not in store.unreachable:
                 reply = store.call(action, self.now_s)
-            lost = events.StoreReplied(action.token, False, False, {})
+            lost = events.StoreResponse(action.token, False, False, {})
             delay_s = store.delay_s if reply else STORE_TIMEOUT_S
             self._tell_later(delay_s, host, node, reply or lost)
 
