--- a/packages/core/src/knapweedbridge_core/serving/endpoint.py
+++ b/packages/core/src/knapweedbridge_core/serving/endpoint.py
@@ -124,7 +124,7 @@
     slowness_s: float = 0.0
     speed: float = 0.0
     published_speed: float = 0.0
-    coming_until_s: float = 0.0
+    loading_until_s: float = 0.0
     places_free: int = 0
     long_prompts_per_s: float = 0.0
     pace_tokens: float = math.inf
@@ -197,7 +197,7 @@
 
     def coming(self, now_s: float) -> int:
         """Return the adapters that are on their way there."""
-        if self.coming_until_s <= now_s:
+        if self.loading_until_s <= now_s:
             return 0
         return sum(held.ready_s > now_s for held in self.held.values())
 
@@ -209,7 +209,9 @@
         for model in held:
             self.recent.discard(model)
         self.held = held
-        self.coming_until_s = max((each.ready_s for each in held.values()), default=0.0)
+        self.loading_until_s = max(
+            (each.ready_s for each in held.values()), default=0.0
+        )
 
     def remove_adapter(self, model: ModelRef) -> None:
         """Take that it holds an adapter no more, but in its memory."""
@@ -225,7 +227,7 @@
         users = known.users if known else 0
         self.held[model] = HeldAdapter(version, ready_s, users, now_s)
         self.recent.discard(model)
-        self.coming_until_s = max(self.coming_until_s, ready_s)
+        self.loading_until_s = max(self.loading_until_s, ready_s)
 
     def is_new(self, message: EngineTold) -> bool:
         """Tell whether an owner's telling is newer than the last one taken."""
--- a/packages/core/src/knapweedbridge_core/serving/placement.py
+++ b/packages/core/src/knapweedbridge_core/serving/placement.py
@@ -220,7 +220,7 @@
 
     def _cold_s(self, engines: list[Endpoint], now_s: float) -> float:
         coming = sum(
-            each.coming(now_s) for each in engines if each.coming_until_s > now_s
+            each.coming(now_s) for each in engines if each.loading_until_s > now_s
         )
         return self._times.load_s(coming + 1, len(engines))
 
