--- a/packages/core/src/knapweedbridge_core/grant_returns.py
+++ b/packages/core/src/knapweedbridge_core/grant_returns.py
@@ -66,7 +66,7 @@
             self._unanswered[live.attempt_id] = held
         held.give_back(self._context)
 
-    def cancelled(self, event: AttemptCancelled) -> None:
+    def handle_cancel_result(self, event: AttemptCancelled) -> None:
         """Take an endpoint's answer to a cancel, or that none came."""
         held = self._cancelling.get(event.attempt_id)
         if held is None:
--- a/packages/core/src/knapweedbridge_core/request_side.py
+++ b/packages/core/src/knapweedbridge_core/request_side.py
@@ -41,7 +41,7 @@
             events.Tick: self._tick,
             events.RequestArrived: self._request_arrived,
             events.AttemptEnded: self._attempt_ended,
-            events.AttemptCancelled: self._returns.cancelled,
+            events.AttemptCancelled: self._returns.handle_cancel_result,
             events.CallerDisconnected: self._caller_left,
             events.EndpointProbed: self._endpoint_probed,
             messages.GrantGiven: self._grant_given,
