--- a/features/software_versions/steps/decision_steps.py
+++ b/features/software_versions/steps/decision_steps.py
@@ -22,7 +22,7 @@
 )
 from knapweedbridge_core.serving.origin_messages import (
     OriginAnswered,
-    OriginAsked,
+    OriginRequest,
     OriginsRecorded,
 )
 from knapweedbridge_daemon.serving.call import Call
@@ -30,7 +30,7 @@
 
 MESSAGES = {
     "OriginsRecorded": OriginsRecorded([]),
-    "OriginAsked": OriginAsked("s", "a", 1.0, 1),
+    "OriginAsked": OriginRequest("s", "a", 1.0, 1),
     "OriginAnswered": OriginAnswered(1, "", None, 0.0, [], True),
 }
 KEEPERS = ["k0", "k1", "k2"]
--- a/packages/core/src/knapweedbridge_core/serving/origin_messages.py
+++ b/packages/core/src/knapweedbridge_core/serving/origin_messages.py
@@ -17,8 +17,8 @@
     rows: list
 
 
-@message
-class OriginAsked:
+@message(tag="OriginAsked")
+class OriginRequest:
     """A daemon asks a keeper which software version began a stream.
 
     Parameters
--- a/packages/core/src/knapweedbridge_core/serving/protocols.py
+++ b/packages/core/src/knapweedbridge_core/serving/protocols.py
@@ -14,7 +14,7 @@
 )
 from knapweedbridge_core.serving.origin_messages import (
     OriginAnswered,
-    OriginAsked,
+    OriginRequest,
     OriginsRecorded,
 )
 from knapweedbridge_core.serving.permit_messages import RoomAsked, TurnedAway
@@ -27,7 +27,7 @@
     RoomAsked: 2,
     TurnedAway: 2,
     OriginsRecorded: 3,
-    OriginAsked: 3,
+    OriginRequest: 3,
     OriginAnswered: 3,
     CallsCleared: 4,
     PartsBlamed: 5,
--- a/packages/daemon/src/knapweedbridge_daemon/serving/stream_resuming.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/stream_resuming.py
@@ -17,7 +17,7 @@
 )
 from knapweedbridge_core.serving.origin_messages import (
     OriginAnswered,
-    OriginAsked,
+    OriginRequest,
     OriginsRecorded,
 )
 from knapweedbridge_daemon.serving.call import Call
@@ -48,10 +48,10 @@
 MOST_ROWS = 200
 """Origins in one message."""
 
-PROBE = OriginAsked("", "", 0.0, 0)
+PROBE = OriginRequest("", "", 0.0, 0)
 """Shows whether a daemon takes part."""
 
-OfOrigins = OriginsRecorded | OriginAsked | OriginAnswered
+OfOrigins = OriginsRecorded | OriginRequest | OriginAnswered
 
 
 @dataclass(slots=True, eq=False)
@@ -272,7 +272,7 @@
         view = self._view(call.service, age_s)
         inquiry = Inquiry(OriginQuestion([], view))
         ticket = next(self._tickets)
-        asked = OriginAsked(call.details.resumes, call.service, age_s, ticket)
+        asked = OriginRequest(call.details.resumes, call.service, age_s, ticket)
         self._inquiries[ticket] = inquiry
         answer_s = ANSWER_S if len(view.versions) > 1 else ANSWER_OF_ONE_S
         try:
@@ -283,7 +283,7 @@
         return inquiry
 
     async def _ask_until_decided(
-        self, call: Call, inquiry: Inquiry, asked: OriginAsked
+        self, call: Call, inquiry: Inquiry, asked: OriginRequest
     ) -> None:
         question = inquiry.question
         await self._ask(call, question, asked)
@@ -300,7 +300,7 @@
             await self._ask(call, question, asked)
 
     async def _ask(
-        self, call: Call, question: OriginQuestion, asked: OriginAsked
+        self, call: Call, question: OriginQuestion, asked: OriginRequest
     ) -> None:
         """Ask the keepers of a call's stream that have not answered yet."""
         keepers = origin_keepers(call.details.stream_id, self._candidates())
@@ -312,7 +312,7 @@
         """Receive a record, a question or an answer."""
         if isinstance(message, OriginsRecorded):
             self._keep(message)
-        elif isinstance(message, OriginAsked):
+        elif isinstance(message, OriginRequest):
             await self._send(daemon, self._answer(message))
         else:
             self._note_answer(daemon, message)
@@ -324,7 +324,7 @@
                 stream, StreamOrigin(service, software, now_s + left_s), now_s
             )
 
-    def _answer(self, message: OriginAsked) -> OriginAnswered:
+    def _answer(self, message: OriginRequest) -> OriginAnswered:
         origin = self._known(message.stream)
         view = self._view(message.service, message.age_s)
         return OriginAnswered(
--- a/packages/standins/src/knapweedbridge_standins/serving_histories/stream_origins.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_histories/stream_origins.py
@@ -24,7 +24,7 @@
     StreamOrigin,
     WeightedService,
 )
-from knapweedbridge_core.serving.origin_messages import OriginAsked, OriginsRecorded
+from knapweedbridge_core.serving.origin_messages import OriginRequest, OriginsRecorded
 from knapweedbridge_core.serving.protocols import understands
 from knapweedbridge_core.serving.store_events import (
     DaemonGone,
@@ -760,8 +760,8 @@
             self.broken.append("no stream went on")
         if owed >= SHARE_OF and self.found[True] < FOUND_SHARE * owed:
             self.broken.append(f"found {self.found[True]} of {owed} streams")
-        if pool.sent[OriginAsked] > 3 * callers.taken_up + callers.asked_again:
-            self.broken.append(f"{pool.sent[OriginAsked]} questions")
+        if pool.sent[OriginRequest] > 3 * callers.taken_up + callers.asked_again:
+            self.broken.append(f"{pool.sent[OriginRequest]} questions")
 
     def _check_forgotten(self, pool: _Pool) -> None:
         """Record one more stream at each host: those that are over are gone."""
