--- a/features/serving/steps/decision_steps.py
+++ b/features/serving/steps/decision_steps.py
@@ -280,7 +280,7 @@
     for _ in range(daemons):
         budget = RetryBudget(0.2, 54, 10)
         for _ in range(requests):
-            budget.note_request("s", NOW_S)
+            budget.record_request("s", NOW_S)
         budget.record_daemons(daemons, NOW_S)
         while budget.spend("s", NOW_S):
             context.repeats += 1
@@ -346,7 +346,7 @@
             for host in hosts:
                 host.record_daemons(self.listed(now_s), now_s)
                 if tenth % 10 == 0:
-                    host.note_request("s", now_s)
+                    host.record_request("s", now_s)
                     self.requests_s.append(now_s)
                 while host.spend("s", now_s):
                     waiting.append((now_s + self.wait_s(now_s), host))
--- a/packages/core/src/knapweedbridge_core/serving/retry_budget.py
+++ b/packages/core/src/knapweedbridge_core/serving/retry_budget.py
@@ -103,7 +103,7 @@
         """Daemons that share the slack."""
         return self._daemons[0][1] if self._daemons else 1
 
-    def note_request(self, service: str, now_s: float) -> None:
+    def record_request(self, service: str, now_s: float) -> None:
         """Count a caller's request for a service."""
         self._window(service, now_s).requests.append(now_s)
 
--- a/packages/daemon/src/knapweedbridge_daemon/serving/callers_app.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/callers_app.py
@@ -164,7 +164,7 @@
             is_keyed=terms.deployment.accounts is not None,
         )
         self._hub.budget.record_daemons(self._hub.daemons, anyio.current_time())
-        self._hub.budget.note_request(call.service, anyio.current_time())
+        self._hub.budget.record_request(call.service, anyio.current_time())
         outcome = "caller_left"
         blamed_s = self._hub.crashes.refused_for_s(
             call.mark, anyio.current_time(), call.parts
