--- a/packages/core/src/knapweedbridge_core/rules.py
+++ b/packages/core/src/knapweedbridge_core/rules.py
@@ -92,7 +92,7 @@
     without_key: WithoutKey = WithoutKey.RUN
 
 
-def judge(rules: Iterable[Rule], subject: Subject) -> Ruling:
+def evaluate_rules(rules: Iterable[Rule], subject: Subject) -> Ruling:
     """Return what the most specific matching rule says, else the default."""
     matching = [rule for rule in rules if matches(rule, subject)]
     default = subject.non_idempotent and subject.method not in READING_METHODS
--- a/packages/daemon/src/knapweedbridge_daemon/catalogue.py
+++ b/packages/daemon/src/knapweedbridge_daemon/catalogue.py
@@ -11,7 +11,7 @@
 from knapweedbridge_core.errors import NameFormatError
 from knapweedbridge_core.names import AdapterVersion, parse_adapter_version
 from knapweedbridge_core.outcomes import Reason
-from knapweedbridge_core.rules import Ruling, Subject, judge
+from knapweedbridge_core.rules import Ruling, Subject, evaluate_rules
 from knapweedbridge_daemon.answers import RefusedError
 
 
@@ -60,7 +60,7 @@
             application=application.name if application else "",
             non_idempotent=bool(application and application.non_idempotent),
         )
-        return judge(self._configuration.rules.values(), subject)
+        return evaluate_rules(self._configuration.rules.values(), subject)
 
     def judge_call(self, service: Service, method: str, path: str) -> Ruling:
         """Return what the operators' rules say of a call of a plain service."""
@@ -71,7 +71,7 @@
             path=path.removeprefix(service.path),
             non_idempotent=service.non_idempotent,
         )
-        return judge(self._configuration.rules.values(), subject)
+        return evaluate_rules(self._configuration.rules.values(), subject)
 
     def _sees(self, team: str) -> bool:
         return team == self._key.team or self._key.role == "administrator"
