--- a/packages/core/src/knapweedbridge_core/serving/engine_keeper.py
+++ b/packages/core/src/knapweedbridge_core/serving/engine_keeper.py
@@ -71,7 +71,7 @@
 
     Attributes
     ----------
-    engines, coming_elsewhere : int
+    engines, loading_elsewhere : int
         Engines of the service, and adapters on their way to others of them.
     long_prompts : LongPrompts
         Counts the prompts that pause the engine's streams.
@@ -93,7 +93,7 @@
         self.bases: set[str] = set()
         self.places: dict[ModelRef, Place] = {}
         self._unsure = True
-        self.coming_elsewhere = 0
+        self.loading_elsewhere = 0
         self.engines = 1
         self._wants: OrderedDict[ModelRef, Want] = OrderedDict()
         self._calls = EngineCalls()
@@ -316,7 +316,7 @@
             return Place(order.version, now_s, now_s)
         if order.model in self._recent:
             return Place(order.version, now_s + WARM_LOAD_S + READY_MARGIN_S, now_s)
-        coming = 1 + self.coming_elsewhere
+        coming = 1 + self.loading_elsewhere
         coming += sum(place.ready_s > now_s for place in self.places.values())
         plan = self.times.plan(coming, self.engines, now_s)
         ready_s = now_s + plan.load_s + READY_MARGIN_S
--- a/packages/daemon/src/knapweedbridge_daemon/serving/engine_owning.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/engine_owning.py
@@ -353,7 +353,7 @@
         fleet = self._hub.cluster.fleet
         engines = fleet.of_service(self.endpoint.record.service, now_s)
         self.keeper.engines = len(engines)
-        self.keeper.coming_elsewhere = sum(
+        self.keeper.loading_elsewhere = sum(
             each.coming(now_s) for each in engines if each is not self.endpoint
         )
 
--- a/packages/standins/src/knapweedbridge_standins/serving_load/owner.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_load/owner.py
@@ -151,7 +151,7 @@
         now_s = self._pool.clock.now_s
         fleet = self._pool.daemons[self.daemon].fleet
         self.keeper.engines = len(self._pool.engines)
-        self.keeper.coming_elsewhere = sum(
+        self.keeper.loading_elsewhere = sum(
             each.coming(now_s) for each in fleet.engines() if each.name != self._name
         )
         self.keeper.answered(order, answer, now_s)
