--- a/packages/core/src/knapweedbridge_core/estate.py
+++ b/packages/core/src/knapweedbridge_core/estate.py
@@ -64,9 +64,9 @@
 
     def _note_gap(self, tenure: Tenure) -> None:
         if self.owners.holds(tenure.endpoint, self._context.now_s):
-            tenure.gap = False
+            tenure.lost_majority = False
         elif not self.has_contact():
-            tenure.gap = True
+            tenure.lost_majority = True
 
     def may_grant(self, tenure: Tenure, model: AdapterVersion) -> bool:
         """Tell whether a grant given now is known to every later owner."""
@@ -79,7 +79,7 @@
         if tenure.takeover.is_condemned(model, now_s):
             return False
         self._note_gap(tenure)
-        return not tenure.gap
+        return not tenure.lost_majority
 
     def may_order_eviction(self, tenure: Tenure) -> bool:
         """Tell whether an eviction ordered now cannot hit a later owner's grants."""
@@ -91,7 +91,7 @@
         if self.owners.holds(tenure.endpoint, now_s):
             return True
         self._note_gap(tenure)
-        return tenure.checks_fencing and not tenure.gap
+        return tenure.checks_fencing and not tenure.lost_majority
 
     def may_load(self, tenure: Tenure, model: AdapterVersion) -> bool:
         """Tell whether a free slot may be used."""
--- a/packages/core/src/knapweedbridge_core/tenure.py
+++ b/packages/core/src/knapweedbridge_core/tenure.py
@@ -22,7 +22,7 @@
         What the peers were told last.
     closing : bool
         Whether no new order is begun, so that the endpoint can be handed over.
-    gap : bool
+    lost_majority : bool
         Whether, since the record was last known to hold, this daemon was out of
         touch with most others.
     announced : dict of AdapterVersion to float
@@ -36,7 +36,7 @@
     takeover: Takeover
     ready: bool = False
     closing: bool = False
-    gap: bool = False
+    lost_majority: bool = False
     reported_s: float = -inf
     report_asked_s: float = -inf
     published: list[AdapterVersion] = field(default_factory=list)
