--- a/features/software_versions/steps/decision_steps.py
+++ b/features/software_versions/steps/decision_steps.py
@@ -21,8 +21,8 @@
     understands,
 )
 from knapweedbridge_core.serving.origin_messages import (
-    OriginAnswered,
     OriginRequest,
+    OriginResponse,
     OriginsRecorded,
 )
 from knapweedbridge_daemon.serving.call import Call
@@ -31,7 +31,7 @@
 MESSAGES = {
     "OriginsRecorded": OriginsRecorded([]),
     "OriginAsked": OriginRequest("s", "a", 1.0, 1),
-    "OriginAnswered": OriginAnswered(1, "", None, 0.0, [], True),
+    "OriginAnswered": OriginResponse(1, "", None, 0.0, [], True),
 }
 KEEPERS = ["k0", "k1", "k2"]
 STREAMS = [f"stream-{number}" for number in range(3000)]
--- a/packages/core/src/knapweedbridge_core/serving/origin_messages.py
+++ b/packages/core/src/knapweedbridge_core/serving/origin_messages.py
@@ -39,8 +39,8 @@
     ticket: int
 
 
-@message
-class OriginAnswered:
+@message(tag="OriginAnswered")
+class OriginResponse:
     """A keeper answers the question for a stream's origin.
 
     Parameters
--- a/packages/core/src/knapweedbridge_core/serving/protocols.py
+++ b/packages/core/src/knapweedbridge_core/serving/protocols.py
@@ -13,8 +13,8 @@
     SuspectsHeld,
 )
 from knapweedbridge_core.serving.origin_messages import (
-    OriginAnswered,
     OriginRequest,
+    OriginResponse,
     OriginsRecorded,
 )
 from knapweedbridge_core.serving.permit_messages import RoomAsked, TurnedAway
@@ -28,7 +28,7 @@
     TurnedAway: 2,
     OriginsRecorded: 3,
     OriginRequest: 3,
-    OriginAnswered: 3,
+    OriginResponse: 3,
     CallsCleared: 4,
     PartsBlamed: 5,
     PartsCleared: 5,
--- a/packages/daemon/src/knapweedbridge_daemon/serving/stream_resuming.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/stream_resuming.py
@@ -16,8 +16,8 @@
     understands,
 )
 from knapweedbridge_core.serving.origin_messages import (
-    OriginAnswered,
     OriginRequest,
+    OriginResponse,
     OriginsRecorded,
 )
 from knapweedbridge_daemon.serving.call import Call
@@ -51,7 +51,7 @@
 PROBE = OriginRequest("", "", 0.0, 0)
 """Shows whether a daemon takes part."""
 
-OfOrigins = OriginsRecorded | OriginRequest | OriginAnswered
+OfOrigins = OriginsRecorded | OriginRequest | OriginResponse
 
 
 @dataclass(slots=True, eq=False)
@@ -324,10 +324,10 @@
                 stream, StreamOrigin(service, software, now_s + left_s), now_s
             )
 
-    def _answer(self, message: OriginRequest) -> OriginAnswered:
+    def _answer(self, message: OriginRequest) -> OriginResponse:
         origin = self._known(message.stream)
         view = self._view(message.service, message.age_s)
-        return OriginAnswered(
+        return OriginResponse(
             message.ticket,
             origin.service if origin else "",
             origin.software if origin else None,
@@ -336,7 +336,7 @@
             view.is_current,
         )
 
-    def _note_answer(self, daemon: str, message: OriginAnswered) -> None:
+    def _note_answer(self, daemon: str, message: OriginResponse) -> None:
         view = VersionView(frozenset(message.versions), message.is_current)
         inquiry = self._inquiries.get(message.ticket)
         if inquiry is None:
