--- a/packages/core/src/knapweedbridge_core/serving/quota_purse.py
+++ b/packages/core/src/knapweedbridge_core/serving/quota_purse.py
@@ -117,7 +117,7 @@
         able = (name for name in keepers if name not in self._passed_over)
         return next(able, None)
 
-    def is_unsure(self, keepers: list[str]) -> bool:
+    def has_silent_keeper(self, keepers: list[str]) -> bool:
         """Tell whether a keeper is silent that may have something to give."""
         return not self._silent.isdisjoint(keepers)
 
--- a/packages/daemon/src/knapweedbridge_daemon/serving/quota_shares.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/quota_shares.py
@@ -103,17 +103,17 @@
         return None if waiter.has_units else self._refusal(account, purse, units)
 
     def _refusal(self, account: str, purse: Purse, units: int) -> Refusal:
-        is_unsure = purse.held.is_unsure(self.parts.keepers(account))
+        has_silent_keeper = purse.held.has_silent_keeper(self.parts.keepers(account))
         wait_s = purse.held.wait_s(anyio.current_time())
-        self._hub.measures.count("quota", "silent" if is_unsure else "refused")
+        self._hub.measures.count("quota", "silent" if has_silent_keeper else "refused")
         self._hub.log.info(
             "quota.refused",
             account=account,
             units=units,
-            unsure=is_unsure,
+            unsure=has_silent_keeper,
             wait_s=round(wait_s, 3),
         )
-        if is_unsure:
+        if has_silent_keeper:
             return Refusal(503, "quota_unknown", SILENT_AFTER_S)
         return Refusal(429, "over_quota", wait_s + random.uniform(*OVER_QUOTA_AFTER_S))
 
@@ -129,7 +129,7 @@
         keeper = purse.held.next_keeper(able, now_s)
         purse.asked = keeper or ""
         if keeper is None:
-            if not purse.held.is_unsure(able):
+            if not purse.held.has_silent_keeper(able):
                 self._refuse_waiting(purse)
             return
         purse.asked_s = now_s
