--- a/packages/core/src/knapweedbridge_core/rules.py
+++ b/packages/core/src/knapweedbridge_core/rules.py
@@ -59,7 +59,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Subject:
+class RequestAttributes:
     """What of a request a rule looks at.
 
     Parameters
@@ -92,7 +92,7 @@
     without_key: WithoutKey = WithoutKey.RUN
 
 
-def evaluate_rules(rules: Iterable[Rule], subject: Subject) -> Ruling:
+def evaluate_rules(rules: Iterable[Rule], subject: RequestAttributes) -> Ruling:
     """Return what the most specific matching rule says, else the default."""
     matching = [rule for rule in rules if matches(rule, subject)]
     default = subject.non_idempotent and subject.method not in READING_METHODS
@@ -104,7 +104,7 @@
     return Ruling(rule.non_idempotent, rule.without_key)
 
 
-def matches(rule: Rule, subject: Subject) -> bool:
+def matches(rule: Rule, subject: RequestAttributes) -> bool:
     """Tell whether a rule is about a request."""
     return (
         rule.team in ("", subject.team)
--- a/packages/daemon/src/knapweedbridge_daemon/catalogue.py
+++ b/packages/daemon/src/knapweedbridge_daemon/catalogue.py
@@ -11,7 +11,7 @@
 from knapweedbridge_core.errors import NameFormatError
 from knapweedbridge_core.names import AdapterVersion, parse_adapter_version
 from knapweedbridge_core.outcomes import Reason
-from knapweedbridge_core.rules import Ruling, Subject, evaluate_rules
+from knapweedbridge_core.rules import RequestAttributes, Ruling, evaluate_rules
 from knapweedbridge_daemon.answers import RefusedError
 
 
@@ -54,7 +54,7 @@
     def judge_model(self, target: Target) -> Ruling:
         """Return what the operators' rules say of a request of a model."""
         application = target.application
-        subject = Subject(
+        subject = RequestAttributes(
             application.team if application else self._team(target.model),
             "POST",
             application=application.name if application else "",
@@ -64,7 +64,7 @@
 
     def judge_call(self, service: Service, method: str, path: str) -> Ruling:
         """Return what the operators' rules say of a call of a plain service."""
-        subject = Subject(
+        subject = RequestAttributes(
             service.team,
             method,
             service=service.name,
