--- a/packages/core/src/knapweedbridge_core/serving/endpoint.py
+++ b/packages/core/src/knapweedbridge_core/serving/endpoint.py
@@ -271,7 +271,7 @@
         """Tell whether its owner told of it lately."""
         return now_s - self.heard_s <= UPDATE_MAX_AGE_S
 
-    def forget_old_speed(self, now_s: float) -> None:
+    def expire_speed(self, now_s: float) -> None:
         """Take the speed for unknown where its owner has not told of it lately."""
         if self.published_speed and not self.has_recent_update(now_s):
             self.speed = self.published_speed = 0.0
--- a/packages/core/src/knapweedbridge_core/serving/fleet.py
+++ b/packages/core/src/knapweedbridge_core/serving/fleet.py
@@ -360,7 +360,7 @@
             Whether this daemon hears of every engine that has an owner.
         """
         for each in engines:
-            each.forget_old_speed(now_s)
+            each.expire_speed(now_s)
         if small:
             for each in engines:
                 each.estimate_others(daemons, now_s)
