--- a/packages/core/src/knapweedbridge_core/order_side.py
+++ b/packages/core/src/knapweedbridge_core/order_side.py
@@ -69,7 +69,7 @@
         if not witnesses:
             self._order(tenure, "evict", victim)
             return True
-        tenure.announced[victim] = self._context.now_s
+        tenure.announced_evictions[victim] = self._context.now_s
         intent = messages.EvictionIntent(tenure.endpoint, victim, tenure.number)
         for host in (self._context.host, *witnesses):
             self._context.send(host, intent)
@@ -85,7 +85,7 @@
         own = self._context.sender == self._context.host
         if tenure is None or own or tenure.number != message.number:
             return
-        if tenure.announced.pop(message.model, None) is None:
+        if tenure.announced_evictions.pop(message.model, None) is None:
             return
         if self._estate.may_order_eviction(tenure):
             self._order(tenure, "evict", message.model)
@@ -93,9 +93,9 @@
             self._cancel(tenure, message.model)
 
     def _cancel_unwitnessed(self, tenure: Tenure) -> None:
-        for model, since_s in list(tenure.announced.items()):
+        for model, since_s in list(tenure.announced_evictions.items()):
             if self._context.now_s - since_s >= WITNESS_S:
-                del tenure.announced[model]
+                del tenure.announced_evictions[model]
                 self._cancel(tenure, model)
 
     def _cancel(self, tenure: Tenure, victim: AdapterVersion) -> None:
--- a/packages/core/src/knapweedbridge_core/owner_side.py
+++ b/packages/core/src/knapweedbridge_core/owner_side.py
@@ -87,7 +87,7 @@
         elsewhere = successor not in (None, self._context.host)
         tenure.closing = elsewhere and self._estate.lease.is_valid(self._context.now_s)
         settled = tenure.takeover.may_evict(self._context.now_s) and tenure.ready
-        quiet = tenure.ledger.is_quiet and not tenure.announced
+        quiet = tenure.ledger.is_quiet and not tenure.announced_evictions
         if not tenure.closing or not settled or not quiet or successor is None:
             return
         now_s = self._context.now_s
--- a/packages/core/src/knapweedbridge_core/tenure.py
+++ b/packages/core/src/knapweedbridge_core/tenure.py
@@ -25,7 +25,7 @@
     lost_majority : bool
         Whether, since the record was last known to hold, this daemon was out of
         touch with most others.
-    announced : dict of AdapterVersion to float
+    announced_evictions : dict of AdapterVersion to float
         Evictions told to witnesses and not ordered yet, and since when.
     """
 
@@ -42,4 +42,4 @@
     published: list[AdapterVersion] = field(default_factory=list)
     published_running: int = 0
     published_s: float = -inf
-    announced: dict[AdapterVersion, float] = field(default_factory=dict)
+    announced_evictions: dict[AdapterVersion, float] = field(default_factory=dict)
