--- a/packages/core/src/knapweedbridge_core/serving/permit_messages.py
+++ b/packages/core/src/knapweedbridge_core/serving/permit_messages.py
@@ -3,8 +3,8 @@
 from knapweedbridge_core.codec import message
 
 
-@message
-class LimitHeard:
+@message(tag="LimitHeard")
+class LimitReport:
     """A daemon tells an endpoint's keeper of the limit that an answer named.
 
     Parameters
@@ -27,7 +27,7 @@
 
 @message
 class LimitTold:
-    """A keeper tells of a limit, or a relay hands it on; fields as in `LimitHeard`."""
+    """A keeper tells of a limit, or a relay hands it on; fields as in `LimitReport`."""
 
     endpoint: str
     started_ms: int
@@ -37,7 +37,7 @@
 
 @message
 class PermitAsked:
-    """A daemon asks an endpoint's keeper for a permit; fields as in `LimitHeard`.
+    """A daemon asks an endpoint's keeper for a permit; fields as in `LimitReport`.
 
     Parameters
     ----------
--- a/packages/daemon/src/knapweedbridge_daemon/serving/permits.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/permits.py
@@ -15,7 +15,7 @@
     understands,
 )
 from knapweedbridge_core.serving.permit_messages import (
-    LimitHeard,
+    LimitReport,
     LimitTold,
     PermitAnswered,
     PermitAsked,
@@ -36,7 +36,7 @@
 """How long an endpoint is left alone whose keeper gave no answer."""
 
 OfPermits = (
-    LimitHeard | LimitTold | PermitAsked | PermitAnswered | RoomAsked | TurnedAway
+    LimitReport | LimitTold | PermitAsked | PermitAnswered | RoomAsked | TurnedAway
 )
 
 
@@ -153,7 +153,7 @@
         """Tell an endpoint's keeper of the limit that an answer has just named."""
         keeper = self._keeper(endpoint)
         if keeper is not None:
-            await self._send(keeper, LimitHeard(*self._limit_of(endpoint)))
+            await self._send(keeper, LimitReport(*self._limit_of(endpoint)))
 
     async def heard(self, daemon: str, message: OfPermits) -> None:
         """Take a daemon's question or news, or a keeper's."""
@@ -180,7 +180,7 @@
             question.answered.set()
 
     def _endpoint_of(
-        self, message: LimitHeard | LimitTold | PermitAsked | RoomAsked | TurnedAway
+        self, message: LimitReport | LimitTold | PermitAsked | RoomAsked | TurnedAway
     ) -> Endpoint | None:
         endpoint = self._hub.cluster.fleet.endpoints.get(message.endpoint)
         start = EndpointStart(message.endpoint, message.started_ms)
@@ -207,7 +207,7 @@
         self,
         daemon: str,
         endpoint: Endpoint,
-        message: LimitHeard | PermitAsked | RoomAsked | TurnedAway,
+        message: LimitReport | PermitAsked | RoomAsked | TurnedAway,
     ) -> None:
         if isinstance(message, TurnedAway):
             self._room(endpoint).turned_away(anyio.current_time())
@@ -233,7 +233,7 @@
         return room
 
     async def _take_limit_as_keeper(
-        self, daemon: str, endpoint: Endpoint, message: LimitHeard | PermitAsked
+        self, daemon: str, endpoint: Endpoint, message: LimitReport | PermitAsked
     ) -> None:
         now_s = anyio.current_time()
         pacer = self._pacer(endpoint, now_s)
