--- a/packages/core/src/knapweedbridge_core/serving/__init__.py
+++ b/packages/core/src/knapweedbridge_core/serving/__init__.py
@@ -110,8 +110,8 @@
 from knapweedbridge_core.serving.protocols import PROTOCOL, understands
 from knapweedbridge_core.serving.quota_purse import QuotaPurse, nearest_first
 from knapweedbridge_core.serving.quotas import (
-    Given,
     PartBucket,
+    QuotaGrant,
     QuotaPart,
     QuotaTolerance,
     keepers,
@@ -162,7 +162,7 @@
     "FaceLimits",
     "Fleet",
     "Forwarders",
-    "Given",
+    "QuotaGrant",
     "HearerMarks",
     "HeldKind",
     "LateAdmission",
--- a/packages/core/src/knapweedbridge_core/serving/quota_purse.py
+++ b/packages/core/src/knapweedbridge_core/serving/quota_purse.py
@@ -4,7 +4,7 @@
 from collections import deque
 
 from knapweedbridge_core.rendezvous import score
-from knapweedbridge_core.serving.quotas import AHEAD_S, Given
+from knapweedbridge_core.serving.quotas import AHEAD_S, QuotaGrant
 
 HELD_S = 2.0
 """How long units are held: those that no call used by then are lost, so daemons that
@@ -95,7 +95,7 @@
         units = int(self._use_per_s * fading * AHEAD_S)
         return units if units >= self._call_units else 0
 
-    def answered(self, keeper: str, given: Given, now_s: float) -> None:
+    def answered(self, keeper: str, given: QuotaGrant, now_s: float) -> None:
         """Take a keeper's answer."""
         self.put(given.units, now_s)
         self._silent.discard(keeper)
--- a/packages/core/src/knapweedbridge_core/serving/quotas.py
+++ b/packages/core/src/knapweedbridge_core/serving/quotas.py
@@ -126,7 +126,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Given:
+class QuotaGrant:
     """What a keeper gives.
 
     Parameters
@@ -164,7 +164,7 @@
 
     def give(
         self, part: QuotaPart, needed: int, others: int, ahead: int, now_s: float
-    ) -> Given:
+    ) -> QuotaGrant:
         """Give units to a daemon that asks.
 
         Parameters
@@ -180,15 +180,15 @@
         """
         if now_s < self._filled_s:
             # Still within the time of the keeper before.
-            return Given(0, self._filled_s - now_s, is_known=False)
+            return QuotaGrant(0, self._filled_s - now_s, is_known=False)
         self._fill(part, now_s)
         if needed and not self._covers(part, needed):
-            return Given(0, self._wait_s(part, needed))
+            return QuotaGrant(0, self._wait_s(part, needed))
         self._level -= needed
         more = self._take(others, 0.0)
         surplus = self._take(ahead, part.most / 2)
         wait_s = self._wait_s(part, 0) if more < others else 0.0
-        return Given(needed + more + surplus, wait_s)
+        return QuotaGrant(needed + more + surplus, wait_s)
 
     def _take(self, wanted: int, left: float) -> int:
         """Take what is wanted, as far as so much is left."""
--- a/packages/daemon/src/knapweedbridge_daemon/serving/quota_parts.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/quota_parts.py
@@ -5,9 +5,9 @@
 import anyio
 
 from knapweedbridge_core.serving import (
-    Given,
     PartBucket,
     Quota,
+    QuotaGrant,
     QuotaPart,
     keepers,
     nearest_first,
@@ -92,7 +92,7 @@
         found = self._splits.get(account)
         return found.keepers if found else []
 
-    def give(self, message: QuotaRequest) -> Given:
+    def give(self, message: QuotaRequest) -> QuotaGrant:
         """Give units of the part that is kept here, if one is."""
         self.refresh()
         found = self._splits.get(message.account)
@@ -100,7 +100,7 @@
         # After its lease a keeper may have a successor, which gives the same part.
         is_listed = self._hub.lease.may_order(suspended_clock_s())
         if found is None or bucket is None or not is_listed:
-            return Given(0, LEAST_WAIT_S, is_known=False)
+            return QuotaGrant(0, LEAST_WAIT_S, is_known=False)
         return bucket.give(
             found.part,
             message.needed,
--- a/packages/daemon/src/knapweedbridge_daemon/serving/quota_shares.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/quota_shares.py
@@ -6,7 +6,7 @@
 
 import anyio
 
-from knapweedbridge_core.serving import ClientAccount, Given, QuotaPurse
+from knapweedbridge_core.serving import ClientAccount, QuotaGrant, QuotaPurse
 from knapweedbridge_core.serving.messages import QuotaGrant, QuotaRequest
 from knapweedbridge_daemon.serving.dialects import Refusal
 from knapweedbridge_daemon.serving.hub import Hub, Send
@@ -176,7 +176,9 @@
             return
         now_s = anyio.current_time()
         if message.is_known:
-            purse.held.answered(keeper, Given(message.units, message.wait_s), now_s)
+            purse.held.answered(
+                keeper, QuotaGrant(message.units, message.wait_s), now_s
+            )
         else:
             purse.held.unanswered(keeper, now_s)
             self._hub.measures.count("quota", "unknown")
