--- a/packages/core/src/knapweedbridge_core/rules.py
+++ b/packages/core/src/knapweedbridge_core/rules.py
@@ -85,23 +85,23 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Ruling:
+class RuleResult:
     """What the rules say of a request."""
 
     non_idempotent: bool
     without_key: WithoutKey = WithoutKey.RUN
 
 
-def evaluate_rules(rules: Iterable[Rule], subject: RequestAttributes) -> Ruling:
+def evaluate_rules(rules: Iterable[Rule], subject: RequestAttributes) -> RuleResult:
     """Return what the most specific matching rule says, else the default."""
     matching = [rule for rule in rules if matches(rule, subject)]
     default = subject.non_idempotent and subject.method not in READING_METHODS
     if not matching:
-        return Ruling(default)
+        return RuleResult(default)
     rule = max(matching, key=lambda rule: rule.rank)
     if rule.non_idempotent is None:
-        return Ruling(default, rule.without_key)
-    return Ruling(rule.non_idempotent, rule.without_key)
+        return RuleResult(default, rule.without_key)
+    return RuleResult(rule.non_idempotent, rule.without_key)
 
 
 def matches(rule: Rule, subject: RequestAttributes) -> bool:
--- a/packages/daemon/src/knapweedbridge_daemon/callers.py
+++ b/packages/daemon/src/knapweedbridge_daemon/callers.py
@@ -13,7 +13,7 @@
 from knapweedbridge_core.configuration import KeyEntry
 from knapweedbridge_core.names import AdapterVersion
 from knapweedbridge_core.outcomes import NotRun, Reason, Unknown
-from knapweedbridge_core.rules import Ruling
+from knapweedbridge_core.rules import RuleResult
 from knapweedbridge_daemon.answers import RefusedError, send_error, send_json
 from knapweedbridge_daemon.caller_bodies import read_body, read_model_body
 from knapweedbridge_daemon.caller_headers import (
@@ -199,7 +199,7 @@
     asked: Asked,
     key: KeyEntry,
     *,
-    ruling: Ruling,
+    ruling: RuleResult,
     model: AdapterVersion | None = None,
     service: str = "",
     called: str = "",
--- a/packages/daemon/src/knapweedbridge_daemon/catalogue.py
+++ b/packages/daemon/src/knapweedbridge_daemon/catalogue.py
@@ -11,7 +11,7 @@
 from knapweedbridge_core.errors import NameFormatError
 from knapweedbridge_core.names import AdapterVersion, parse_adapter_version
 from knapweedbridge_core.outcomes import Reason
-from knapweedbridge_core.rules import RequestAttributes, Ruling, evaluate_rules
+from knapweedbridge_core.rules import RequestAttributes, RuleResult, evaluate_rules
 from knapweedbridge_daemon.answers import RefusedError
 
 
@@ -51,7 +51,7 @@
         self._configuration = configuration
         self._key = key
 
-    def judge_model(self, target: Target) -> Ruling:
+    def judge_model(self, target: Target) -> RuleResult:
         """Return what the operators' rules say of a request of a model."""
         application = target.application
         subject = RequestAttributes(
@@ -62,7 +62,7 @@
         )
         return evaluate_rules(self._configuration.rules.values(), subject)
 
-    def judge_call(self, service: Service, method: str, path: str) -> Ruling:
+    def judge_call(self, service: Service, method: str, path: str) -> RuleResult:
         """Return what the operators' rules say of a call of a plain service."""
         subject = RequestAttributes(
             service.team,
