--- a/features/paths/steps/decision_steps.py
+++ b/features/paths/steps/decision_steps.py
@@ -17,7 +17,7 @@
         self.now_s += 0.05
         who, _, what = event.partition(" ")
         done = {
-            "is cut": lambda: self.paths.note_cut(who, self.now_s),
+            "is cut": lambda: self.paths.record_cut(who, self.now_s),
             "fails": lambda: self.paths.note_failed(who, self.now_s),
             "stands": lambda: self.paths.note_direct(who, self.now_s),
             "fail": lambda: self.paths.note_others_failed(2),
--- a/packages/core/src/knapweedbridge_core/serving/endpoint_paths.py
+++ b/packages/core/src/knapweedbridge_core/serving/endpoint_paths.py
@@ -99,7 +99,7 @@
         confirmed = sum(path.is_confirmed for path in self._cut.values())
         return len(self._cut) >= SUSPECT_PATHS or confirmed >= CONFIRMING_FAILURES
 
-    def note_cut(self, address: str, now_s: float) -> bool:
+    def record_cut(self, address: str, now_s: float) -> bool:
         """Record that a direct connection failed where another host's stands.
 
         Returns
