--- a/bench/placement_model.py
+++ b/bench/placement_model.py
@@ -368,7 +368,9 @@
         """Let the core see what an engine holds and runs."""
         name = engine.entry.name
         loaded = list(engine.loaded)
-        self.pool.view.changed(EndpointUpdate(name, "h", 1, loaded, engine.running))
+        self.pool.view.apply_update(
+            EndpointUpdate(name, "h", 1, loaded, engine.running)
+        )
 
     def _publish_running(self, engine: Engine) -> None:
         self.pool.view.endpoints[engine.entry.name].running = engine.running
--- a/features/placement/steps/load_steps.py
+++ b/features/placement/steps/load_steps.py
@@ -32,7 +32,7 @@
         self.order = LoadOrder("host-0", PlacementPolicy(**settings))
 
     def holds(self, name, models):
-        self.pool.view.changed(EndpointUpdate(name, "o", 1, models, 0))
+        self.pool.view.apply_update(EndpointUpdate(name, "o", 1, models, 0))
 
     def wanted(self, name, waiters=1, host="host-1", left_s=60.0):
         deadline_s = self.now_s + left_s
--- a/packages/core/src/knapweedbridge_core/request_side.py
+++ b/packages/core/src/knapweedbridge_core/request_side.py
@@ -383,7 +383,7 @@
         )
 
     def _slots_changed(self, message: messages.EndpointUpdate) -> None:
-        self._context.view.changed(message)
+        self._context.view.apply_update(message)
         loaded = set(message.loaded)
         for live in list(self.live.values()):
             if self._is_due(live) and live.request.model in loaded:
--- a/packages/core/src/knapweedbridge_core/view.py
+++ b/packages/core/src/knapweedbridge_core/view.py
@@ -23,7 +23,7 @@
     endpoints: dict[str, EndpointView] = field(default_factory=dict)
     _holders: dict[AdapterVersion, dict[str, None]] = field(default_factory=dict)
 
-    def changed(self, message: EndpointUpdate) -> None:
+    def apply_update(self, message: EndpointUpdate) -> None:
         """Take an owner's word; one of an older owner is dropped."""
         held = self.endpoints.get(message.endpoint)
         if held is not None and held.number > message.number:
