--- a/features/limits/steps/pool_steps.py
+++ b/features/limits/steps/pool_steps.py
@@ -5,7 +5,7 @@
 
 from knapweedbridge_core.serving import DaemonRecord
 from knapweedbridge_core.serving.messages import RelayRequest
-from knapweedbridge_core.serving.permit_messages import LimitReport, LimitTold
+from knapweedbridge_core.serving.permit_messages import LimitReport, LimitUpdate
 from knapweedbridge_daemon.serving.dialects import AnswerHead
 from knapweedbridge_daemon.serving.wire import ResponseHead
 from knapweedbridge_platform.endpoints import PlatformEndpoints
@@ -73,7 +73,7 @@
             carried, send = [], pool.wire.send
 
             def counted(sender, hearer, message):
-                if isinstance(message, LimitReport | LimitTold):
+                if isinstance(message, LimitReport | LimitUpdate):
                     carried.append(message)
                 send(sender, hearer, message)
 
--- a/packages/core/src/knapweedbridge_core/serving/permit_messages.py
+++ b/packages/core/src/knapweedbridge_core/serving/permit_messages.py
@@ -25,8 +25,8 @@
     age_s: float
 
 
-@message
-class LimitTold:
+@message(tag="LimitTold")
+class LimitUpdate:
     """A keeper tells of a limit, or a relay hands it on; fields as in `LimitReport`."""
 
     endpoint: str
--- a/packages/daemon/src/knapweedbridge_daemon/serving/permits.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/permits.py
@@ -16,7 +16,7 @@
 )
 from knapweedbridge_core.serving.permit_messages import (
     LimitReport,
-    LimitTold,
+    LimitUpdate,
     PermitAnswered,
     PermitAsked,
     RoomAsked,
@@ -36,7 +36,7 @@
 """How long an endpoint is left alone whose keeper gave no answer."""
 
 OfPermits = (
-    LimitReport | LimitTold | PermitAsked | PermitAnswered | RoomAsked | TurnedAway
+    LimitReport | LimitUpdate | PermitAsked | PermitAnswered | RoomAsked | TurnedAway
 )
 
 
@@ -163,7 +163,7 @@
         endpoint = self._endpoint_of(message)
         if endpoint is None:
             return
-        if isinstance(message, LimitTold):
+        if isinstance(message, LimitUpdate):
             self._take_limit(endpoint, message)
             await self._hand_on(message)
         elif self._keeper(endpoint) == self._hub.identity.name:
@@ -180,13 +180,13 @@
             question.answered.set()
 
     def _endpoint_of(
-        self, message: LimitReport | LimitTold | PermitAsked | RoomAsked | TurnedAway
+        self, message: LimitReport | LimitUpdate | PermitAsked | RoomAsked | TurnedAway
     ) -> Endpoint | None:
         endpoint = self._hub.cluster.fleet.endpoints.get(message.endpoint)
         start = EndpointStart(message.endpoint, message.started_ms)
         return endpoint if endpoint and endpoint.start.may_be(start) else None
 
-    def _take_limit(self, endpoint: Endpoint, message: LimitTold) -> None:
+    def _take_limit(self, endpoint: Endpoint, message: LimitUpdate) -> None:
         before_per_s = endpoint.pressure.limit_per_s
         heard_s = anyio.current_time() - message.age_s
         if endpoint.pressure.update_limit(message.limit_per_s, heard_s):
@@ -199,7 +199,7 @@
             )
             self._hub.engines_changed.tell()
 
-    async def _hand_on(self, message: LimitTold) -> None:
+    async def _hand_on(self, message: LimitUpdate) -> None:
         for name in self._relaying.hearers_now():
             await self._send(name, message)
 
@@ -269,7 +269,7 @@
     ) -> None:
         """Tell all daemons of a limit, through the relays in a large pool."""
         cluster = self._hub.cluster
-        told = LimitTold(
+        told = LimitUpdate(
             endpoint.name,
             endpoint.record.started_ms,
             pacer.limit_per_s,
