--- a/bench/accounts.py
+++ b/bench/accounts.py
@@ -12,7 +12,7 @@
     ClientAccount,
     PartBucket,
     Quota,
-    QuotaPurse,
+    QuotaBalance,
     QuotaTolerance,
     QuotaUnit,
     split,
@@ -49,7 +49,7 @@
     )
     quota = Quota(QuotaUnit.TOKENS, 1e9, 1e9)
     part = split(quota, QuotaTolerance(), 12)
-    purse, bucket = QuotaPurse(), PartBucket(0.0)
+    purse, bucket = QuotaBalance(), PartBucket(0.0)
 
     def look_up(number: int) -> None:
         digest = shown_key_digest(f"Bearer key-{number % ACCOUNTS}")
--- a/packages/core/src/knapweedbridge_core/serving/__init__.py
+++ b/packages/core/src/knapweedbridge_core/serving/__init__.py
@@ -108,7 +108,7 @@
 )
 from knapweedbridge_core.serving.prompt_parts import shared_parts
 from knapweedbridge_core.serving.protocols import PROTOCOL, understands
-from knapweedbridge_core.serving.quota_purse import QuotaPurse, nearest_first
+from knapweedbridge_core.serving.quota_purse import QuotaBalance, nearest_first
 from knapweedbridge_core.serving.quotas import (
     PartBucket,
     QuotaGrant,
@@ -198,7 +198,7 @@
     "PromptTurn",
     "Quota",
     "QuotaPart",
-    "QuotaPurse",
+    "QuotaBalance",
     "QuotaTolerance",
     "QuotaUnit",
     "Reject",
--- a/packages/core/src/knapweedbridge_core/serving/quota_purse.py
+++ b/packages/core/src/knapweedbridge_core/serving/quota_purse.py
@@ -36,7 +36,7 @@
     )
 
 
-class QuotaPurse:
+class QuotaBalance:
     """Units of one account that one daemon holds; all times are of its own clock."""
 
     __slots__ = (
--- a/packages/daemon/src/knapweedbridge_daemon/serving/quota_shares.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/quota_shares.py
@@ -6,7 +6,7 @@
 
 import anyio
 
-from knapweedbridge_core.serving import ClientAccount, QuotaGrant, QuotaPurse
+from knapweedbridge_core.serving import ClientAccount, QuotaBalance, QuotaGrant
 from knapweedbridge_core.serving.messages import QuotaGrant, QuotaRequest
 from knapweedbridge_daemon.serving.dialects import Refusal
 from knapweedbridge_daemon.serving.hub import Hub, Send
@@ -41,7 +41,7 @@
 class Purse:
     """One account's units here, the calls that wait, and the keeper that was asked."""
 
-    held: QuotaPurse = field(default_factory=QuotaPurse)
+    held: QuotaBalance = field(default_factory=QuotaBalance)
     waiting: deque[Waiter] = field(default_factory=deque)
     asked: str = ""
     asked_s: float = 0.0
--- a/packages/standins/src/knapweedbridge_standins/quota_pool/ways.py
+++ b/packages/standins/src/knapweedbridge_standins/quota_pool/ways.py
@@ -7,8 +7,8 @@
     DaemonRecord,
     PartBucket,
     Quota,
+    QuotaBalance,
     QuotaPart,
-    QuotaPurse,
     QuotaTolerance,
     keepers,
     nearest_first,
@@ -57,7 +57,7 @@
         records = [DaemonRecord(h.name, 1, "", h.data_centre) for h in hosts]
         self._candidates = quota_keepers(ranked(records))
         self._buckets: dict[tuple[str, float], PartBucket] = {}
-        self._purses: dict[tuple[str, float], QuotaPurse] = {}
+        self._purses: dict[tuple[str, float], QuotaBalance] = {}
 
     def _part(self) -> QuotaPart:
         most = sum(map(len, self._candidates.values()))
@@ -65,7 +65,7 @@
 
     def takes(self, host: Host, units: int, now_s: float) -> bool:
         """See `QuotaWay.takes`."""
-        purse = self._purses.setdefault((host.name, host.started_s), QuotaPurse())
+        purse = self._purses.setdefault((host.name, host.started_s), QuotaBalance())
         purse.record_use(units, now_s)
         if purse.spend(units, now_s):
             if purse.held(now_s) < purse.ahead(now_s) / 2:
@@ -76,7 +76,7 @@
                 return True
         return False
 
-    def _ask(self, host: Host, purse: QuotaPurse, units: int, now_s: float) -> bool:
+    def _ask(self, host: Host, purse: QuotaBalance, units: int, now_s: float) -> bool:
         part = self._part()
         names = keepers(self.account, part.parts, self._candidates)
         names = nearest_first(host.name, host.data_centre, names, self._places)
