--- a/packages/core/src/knapweedbridge_core/configuration.py
+++ b/packages/core/src/knapweedbridge_core/configuration.py
@@ -20,7 +20,7 @@
 from knapweedbridge_core.names import AdapterVersion, is_name, parse_adapter_version
 from knapweedbridge_core.parts import Parts, Sections
 from knapweedbridge_core.policy import PlacementPolicy
-from knapweedbridge_core.rules import Rule, WithoutKey, equal_fault, rule_faults
+from knapweedbridge_core.rules import Rule, WithoutKey, find_conflict, rule_faults
 from knapweedbridge_core.schema import Name
 
 __all__ = [
@@ -220,7 +220,7 @@
     if values["non_idempotent"] == "":
         values["non_idempotent"] = None
     rule = Rule(name, **values)
-    faults = equal_fault(title, rule, into.rules.values())
+    faults = find_conflict(title, rule, into.rules.values())
     if not faults:
         into.rules[name] = rule
     return faults
--- a/packages/core/src/knapweedbridge_core/rules.py
+++ b/packages/core/src/knapweedbridge_core/rules.py
@@ -149,7 +149,7 @@
     return faults
 
 
-def equal_fault(title: str, rule: Rule, others: Iterable[Rule]) -> list[Fault]:
+def find_conflict(title: str, rule: Rule, others: Iterable[Rule]) -> list[Fault]:
     """Return a fault where another rule matches the same requests equally."""
     for other in others:
         if other.name != rule.name and _is_equal(rule, other):
