--- a/features/paths/steps/decision_steps.py
+++ b/features/paths/steps/decision_steps.py
@@ -18,7 +18,7 @@
         who, _, what = event.partition(" ")
         done = {
             "is cut": lambda: self.paths.record_cut(who, self.now_s),
-            "fails": lambda: self.paths.note_failed(who, self.now_s),
+            "fails": lambda: self.paths.record_retry_failure(who, self.now_s),
             "stands": lambda: self.paths.note_direct(who, self.now_s),
             "fail": lambda: self.paths.note_others_failed(2),
             "is left": lambda: self.paths.note_others_failed(0),
--- a/packages/core/src/knapweedbridge_core/serving/endpoint_paths.py
+++ b/packages/core/src/knapweedbridge_core/serving/endpoint_paths.py
@@ -108,12 +108,12 @@
             Whether the path was not known to be cut.
         """
         if address in self._cut:
-            self.note_failed(address, now_s)
+            self.record_retry_failure(address, now_s)
             return False
         self._cut[address] = CutPath(now_s)
         return True
 
-    def note_failed(self, address: str, now_s: float) -> None:
+    def record_retry_failure(self, address: str, now_s: float) -> None:
         """Record that a path that is cut was tried in vain."""
         path = self._cut.get(address)
         if path is not None:
--- a/packages/daemon/src/knapweedbridge_daemon/serving/endpoint_connector.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/endpoint_connector.py
@@ -177,7 +177,7 @@
         if attempt.is_reached:
             self._note_cut(attempt)
         elif self._hub.paths.is_cut(address):
-            self._hub.paths.note_failed(address, now_s)
+            self._hub.paths.record_retry_failure(address, now_s)
             self._notify_changes()
         elif attempt.destination.is_direct and attempt.destination.endpoint:
             self._tasks.start_soon(self._check, attempt)
