--- a/packages/core/src/knapweedbridge_core/claimant_side.py
+++ b/packages/core/src/knapweedbridge_core/claimant_side.py
@@ -139,7 +139,7 @@
             return incarnation == self._context.incarnation
         member = self._context.members.get(record.host)
         return (
-            member is not None and member.linked and member.incarnation <= incarnation
+            member is not None and member.is_alive and member.incarnation <= incarnation
         )
 
     def _end_kept(self, message: messages.ClaimEndKept) -> None:
--- a/packages/core/src/knapweedbridge_core/member_side.py
+++ b/packages/core/src/knapweedbridge_core/member_side.py
@@ -145,7 +145,7 @@
     def _peer_unlinked(self, event: events.PeerDisconnected) -> None:
         self._context.record("peer.unlinked", peer=event.host)
         member = self._context.members.get(event.host)
-        if member is not None and member.linked:
+        if member is not None and member.is_alive:
             self._suspicions.open(event.host)
 
     def _peer_heard(self, event: events.PeerMessage) -> None:
@@ -164,7 +164,7 @@
         if member is None:
             return
         member.generation = message.generation
-        if member.state.rank > own_word.rank and not member.linked:
+        if member.state.rank > own_word.rank and not member.is_alive:
             self._beat([message.host], member.state)
         self._compare(message)
 
@@ -199,11 +199,11 @@
             self._refute(state)
             return
         member = self._context.members.get(state.host)
-        was_linked = member is not None and member.linked
+        was_linked = member is not None and member.is_alive
         if not self._context.members.take(state):
             return
         self._deltas.add(state)
-        is_linked = member is not None and member.linked
+        is_linked = member is not None and member.is_alive
         if was_linked != is_linked:
             self._context.record(
                 "member.alive" if is_linked else "member.dead", member=state.host
--- a/packages/core/src/knapweedbridge_core/members.py
+++ b/packages/core/src/knapweedbridge_core/members.py
@@ -57,7 +57,7 @@
     generation: int = 0
 
     @property
-    def linked(self) -> bool:
+    def is_alive(self) -> bool:
         """Whether it lives."""
         return self.state.status in (Status.ALIVE, Status.DRAINING)
 
@@ -123,7 +123,7 @@
         before = set(self._members)
         for name, member in list(self._members.items()):
             member.listed = name in daemons
-            if not member.listed and not member.linked:
+            if not member.listed and not member.is_alive:
                 del self._members[name]
         new: list[Member] = []
         for name, host in daemons.items():
@@ -148,14 +148,14 @@
         member = self._members.get(state.host)
         if member is None or state.rank <= member.state.rank:
             return False
-        was_linked = member.linked
+        was_linked = member.is_alive
         self._digest ^= _checksum(member.state) if was_linked else 0
         member.state = MemberState(*state)
-        self._digest ^= _checksum(member.state) if member.linked else 0
+        self._digest ^= _checksum(member.state) if member.is_alive else 0
         self.version += 1
-        if was_linked != member.linked:
+        if was_linked != member.is_alive:
             self._neighbours = None
-        if not member.linked and not member.listed:
+        if not member.is_alive and not member.listed:
             del self._members[state.host]
         return True
 
@@ -181,7 +181,7 @@
 
     def peers(self) -> list[Member]:
         """Return the other members that live."""
-        return [member for member in self._members.values() if member.linked]
+        return [member for member in self._members.values() if member.is_alive]
 
     def known(self) -> list[Member]:
         """Return all other members, whether they live or not."""
--- a/packages/daemon/src/knapweedbridge_daemon/inventory.py
+++ b/packages/daemon/src/knapweedbridge_daemon/inventory.py
@@ -22,7 +22,7 @@
     peers = {
         member.name: {
             "data_centre": member.data_centre,
-            "linked": member.linked,
+            "linked": member.is_alive,
             "draining": member.draining,
             "generation": member.generation,
             "administration": addresses.get(member.name, ""),
