--- a/packages/core/src/knapweedbridge_core/serving/permit_messages.py
+++ b/packages/core/src/knapweedbridge_core/serving/permit_messages.py
@@ -35,8 +35,8 @@
     age_s: float
 
 
-@message
-class PermitAsked:
+@message(tag="PermitAsked")
+class PermitRequest:
     """A daemon asks an endpoint's keeper for a permit; fields as in `LimitReport`.
 
     Parameters
--- a/packages/daemon/src/knapweedbridge_daemon/serving/permits.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/permits.py
@@ -18,7 +18,7 @@
     LimitReport,
     LimitUpdate,
     PermitAnswered,
-    PermitAsked,
+    PermitRequest,
     RoomAsked,
     TurnedAway,
 )
@@ -36,7 +36,7 @@
 """How long an endpoint is left alone whose keeper gave no answer."""
 
 OfPermits = (
-    LimitReport | LimitUpdate | PermitAsked | PermitAnswered | RoomAsked | TurnedAway
+    LimitReport | LimitUpdate | PermitRequest | PermitAnswered | RoomAsked | TurnedAway
 )
 
 
@@ -89,7 +89,7 @@
         if not pressure.is_limited:
             return True
         ticket = next(self._tickets)
-        asked = PermitAsked(*self._limit_of(endpoint), ticket)
+        asked = PermitRequest(*self._limit_of(endpoint), ticket)
         return await self._is_permitted(endpoint, ticket, asked)
 
     async def _has_room(self, endpoint: Endpoint) -> bool:
@@ -104,7 +104,7 @@
         return await self._is_permitted(endpoint, ticket, asked)
 
     async def _is_permitted(
-        self, endpoint: Endpoint, ticket: int, asked: PermitAsked | RoomAsked
+        self, endpoint: Endpoint, ticket: int, asked: PermitRequest | RoomAsked
     ) -> bool:
         wait_s = await self._ask(endpoint, ticket, asked)
         self._hub.measures.count("permits", "refused" if wait_s else "taken")
@@ -114,7 +114,7 @@
         return not wait_s
 
     async def _ask(
-        self, endpoint: Endpoint, ticket: int, asked: PermitAsked | RoomAsked
+        self, endpoint: Endpoint, ticket: int, asked: PermitRequest | RoomAsked
     ) -> float:
         """Ask for a permit; return 0.0 where it is given, else when to ask again."""
         keeper = self._keeper(endpoint)
@@ -168,7 +168,7 @@
             await self._hand_on(message)
         elif self._keeper(endpoint) == self._hub.identity.name:
             await self._take_as_keeper(daemon, endpoint, message)
-        elif isinstance(message, PermitAsked | RoomAsked):
+        elif isinstance(message, PermitRequest | RoomAsked):
             # The asker will have heard of the new keeper by then.
             answer = PermitAnswered(endpoint.name, message.ticket, SILENT_S)
             await self._send(daemon, answer)
@@ -180,7 +180,8 @@
             question.answered.set()
 
     def _endpoint_of(
-        self, message: LimitReport | LimitUpdate | PermitAsked | RoomAsked | TurnedAway
+        self,
+        message: LimitReport | LimitUpdate | PermitRequest | RoomAsked | TurnedAway,
     ) -> Endpoint | None:
         endpoint = self._hub.cluster.fleet.endpoints.get(message.endpoint)
         start = EndpointStart(message.endpoint, message.started_ms)
@@ -207,7 +208,7 @@
         self,
         daemon: str,
         endpoint: Endpoint,
-        message: LimitReport | PermitAsked | RoomAsked | TurnedAway,
+        message: LimitReport | PermitRequest | RoomAsked | TurnedAway,
     ) -> None:
         if isinstance(message, TurnedAway):
             self._room(endpoint).turned_away(anyio.current_time())
@@ -233,14 +234,14 @@
         return room
 
     async def _take_limit_as_keeper(
-        self, daemon: str, endpoint: Endpoint, message: LimitReport | PermitAsked
+        self, daemon: str, endpoint: Endpoint, message: LimitReport | PermitRequest
     ) -> None:
         now_s = anyio.current_time()
         pacer = self._pacer(endpoint, now_s)
         heard_s = now_s - message.age_s
         if pacer.update_limit(message.limit_per_s, heard_s, now_s):
             await self._tell_all(endpoint, pacer, now_s)
-        if isinstance(message, PermitAsked):
+        if isinstance(message, PermitRequest):
             leased = self._hub.lease.may_order(suspended_clock_s())
             wait_s = pacer.take(now_s, 1.0 if leased else UNLEASED_SHARE)
             self._hub.measures.count("permits", "not_given" if wait_s else "given")
