--- a/bench/accounts.py
+++ b/bench/accounts.py
@@ -10,9 +10,9 @@
 from knapweedbridge_core.serving import (
     Accounts,
     ClientAccount,
-    PartBucket,
     Quota,
     QuotaBalance,
+    QuotaBucket,
     QuotaTolerance,
     QuotaUnit,
     split,
@@ -49,7 +49,7 @@
     )
     quota = Quota(QuotaUnit.TOKENS, 1e9, 1e9)
     part = split(quota, QuotaTolerance(), 12)
-    purse, bucket = QuotaBalance(), PartBucket(0.0)
+    purse, bucket = QuotaBalance(), QuotaBucket(0.0)
 
     def look_up(number: int) -> None:
         digest = shown_key_digest(f"Bearer key-{number % ACCOUNTS}")
--- a/bench/mutants_serving.py
+++ b/bench/mutants_serving.py
@@ -12,8 +12,8 @@
     Fleet,
     NamedVersions,
     OriginQuestion,
-    PartBucket,
     PermitPacer,
+    QuotaBucket,
     SoftwareVersions,
     StoreOutage,
     VersionsNow,
@@ -174,11 +174,15 @@
     ),
     "a keeper forgets what it gave": (
         "what an account uses",
-        [rewritten(PartBucket, "give", ("    self._level -= needed\n", ""))],
+        [rewritten(QuotaBucket, "give", ("    self._level -= needed\n", ""))],
     ),
     "a part begins full": (
         "what an account uses",
-        [rewritten(PartBucket, "__init__", ("self._level = 0.0", "self._level = 1e9"))],
+        [
+            rewritten(
+                QuotaBucket, "__init__", ("self._level = 0.0", "self._level = 1e9")
+            )
+        ],
     ),
     "each keeper gives the whole quota and more": (
         "what an account uses",
--- a/packages/core/src/knapweedbridge_core/serving/__init__.py
+++ b/packages/core/src/knapweedbridge_core/serving/__init__.py
@@ -110,7 +110,7 @@
 from knapweedbridge_core.serving.protocols import PROTOCOL, understands
 from knapweedbridge_core.serving.quota_purse import QuotaBalance, nearest_first
 from knapweedbridge_core.serving.quotas import (
-    PartBucket,
+    QuotaBucket,
     QuotaGrant,
     QuotaPart,
     QuotaTolerance,
@@ -186,7 +186,7 @@
     "OverloadPolicy",
     "OwnerRecord",
     "PROTOCOL",
-    "PartBucket",
+    "QuotaBucket",
     "PermitPacer",
     "PartLedger",
     "PlacementAsk",
--- a/packages/core/src/knapweedbridge_core/serving/quotas.py
+++ b/packages/core/src/knapweedbridge_core/serving/quotas.py
@@ -146,7 +146,7 @@
     is_known: bool = True
 
 
-class PartBucket:
+class QuotaBucket:
     """One part of an account's quota, at the daemon that keeps it.
 
     Parameters
--- a/packages/daemon/src/knapweedbridge_daemon/serving/quota_parts.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/quota_parts.py
@@ -5,8 +5,8 @@
 import anyio
 
 from knapweedbridge_core.serving import (
-    PartBucket,
     Quota,
+    QuotaBucket,
     QuotaGrant,
     QuotaPart,
     keepers,
@@ -47,7 +47,7 @@
         self._hub = hub
         self._seen: tuple[object, object] = (None, None)
         self._splits: dict[str, SplitQuota] = {}
-        self._buckets: dict[str, PartBucket] = {}
+        self._buckets: dict[str, QuotaBucket] = {}
 
     def refresh(self) -> None:
         """Begin to keep the parts that have fallen to this daemon, and end others."""
@@ -73,7 +73,7 @@
             # Nobody kept a part of an account that is new before.
             is_new = had_deployment and account not in before
             empty_s = now_s if is_new else now_s + TAKE_OVER_S
-            self._buckets.setdefault(account, PartBucket(empty_s))
+            self._buckets.setdefault(account, QuotaBucket(empty_s))
         for account in self._buckets.keys() - set(kept):
             del self._buckets[account]
 
--- a/packages/standins/src/knapweedbridge_standins/quota_pool/ways.py
+++ b/packages/standins/src/knapweedbridge_standins/quota_pool/ways.py
@@ -5,9 +5,9 @@
 
 from knapweedbridge_core.serving import (
     DaemonRecord,
-    PartBucket,
     Quota,
     QuotaBalance,
+    QuotaBucket,
     QuotaPart,
     QuotaTolerance,
     keepers,
@@ -56,7 +56,7 @@
         self._places = {host.name: host.data_centre for host in hosts}
         records = [DaemonRecord(h.name, 1, "", h.data_centre) for h in hosts]
         self._candidates = quota_keepers(ranked(records))
-        self._buckets: dict[tuple[str, float], PartBucket] = {}
+        self._buckets: dict[tuple[str, float], QuotaBucket] = {}
         self._purses: dict[tuple[str, float], QuotaBalance] = {}
 
     def _part(self) -> QuotaPart:
@@ -89,7 +89,7 @@
             purse.unanswered(name, now_s)
             return True
         bucket = self._buckets.setdefault(
-            (name, keeper.started_s), PartBucket(keeper.started_s + TAKE_OVER_S)
+            (name, keeper.started_s), QuotaBucket(keeper.started_s + TAKE_OVER_S)
         )
         held = purse.held(now_s)
         ahead = max(0, purse.ahead(now_s) - (0 if units else held))
