--- a/packages/core/src/knapweedbridge_core/configuration.py
+++ b/packages/core/src/knapweedbridge_core/configuration.py
@@ -20,7 +20,7 @@
 from knapweedbridge_core.names import AdapterVersion, is_name, parse_adapter_version
 from knapweedbridge_core.parts import Parts, Sections
 from knapweedbridge_core.policy import PlacementPolicy
-from knapweedbridge_core.rules import Rule, WithoutKey, find_conflict, rule_faults
+from knapweedbridge_core.rules import Rule, WithoutKey, find_conflict, validate_rule
 from knapweedbridge_core.schema import Name
 
 __all__ = [
@@ -211,7 +211,7 @@
 def _add_rule(
     into: Configuration, title: str, name: str, values: dict[str, Any]
 ) -> list[Fault]:
-    faults = rule_faults(title, values)
+    faults = validate_rule(title, values)
     faults += _target_faults(title, "service", values, into.services)
     faults += _target_faults(title, "application", values, into.applications)
     if faults:
--- a/packages/core/src/knapweedbridge_core/rules.py
+++ b/packages/core/src/knapweedbridge_core/rules.py
@@ -128,7 +128,7 @@
     return not prefix or path == prefix or path.startswith(prefix + "/")
 
 
-def rule_faults(title: str, values: dict[str, Any]) -> list[Fault]:
+def validate_rule(title: str, values: dict[str, Any]) -> list[Fault]:
     """Return the faults of a rule that show without the other sections."""
     faults: list[Fault] = []
     path, service = values["path"], values["service"]
