--- a/features/paths/steps/decision_steps.py
+++ b/features/paths/steps/decision_steps.py
@@ -20,8 +20,8 @@
             "is cut": lambda: self.paths.record_cut(who, self.now_s),
             "fails": lambda: self.paths.record_retry_failure(who, self.now_s),
             "stands": lambda: self.paths.note_direct(who, self.now_s),
-            "fail": lambda: self.paths.note_others_failed(2),
-            "is left": lambda: self.paths.note_others_failed(0),
+            "fail": lambda: self.paths.record_other_failures(2),
+            "is left": lambda: self.paths.record_other_failures(0),
             "go": lambda: self.paths.keep_only(set()),
             "refuses": lambda: self.forwarders.note_refused(who, self.now_s),
         }
--- a/packages/core/src/knapweedbridge_core/serving/endpoint_paths.py
+++ b/packages/core/src/knapweedbridge_core/serving/endpoint_paths.py
@@ -120,7 +120,7 @@
             path.tried_s = now_s
             path.failures += 1
 
-    def note_others_failed(self, tried: int) -> None:
+    def record_other_failures(self, tried: int) -> None:
         """Record that as many endpoints that were not found cut failed, in a row.
 
         Parameters
--- a/packages/daemon/src/knapweedbridge_daemon/serving/endpoint_connector.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/endpoint_connector.py
@@ -284,7 +284,7 @@
                 destination = Destination(each.record.address, each.name, True)
                 tasks.start_soon(self._look_for, destination, found)
         if not any(found):
-            paths.note_others_failed(len(some))
+            paths.record_other_failures(len(some))
             self._notify_changes()
 
     async def _look_for(self, destination: Destination, found: list[bool]) -> None:
