--- a/features/compatibility/steps/wire_steps.py
+++ b/features/compatibility/steps/wire_steps.py
@@ -93,7 +93,7 @@
 READERS = {
     "claim": lambda value: claims.unpack_record(value) == CLAIM,
     "owner": lambda value: owner_records.OwnerRecord.unpack(value) == OWNER,
-    "life": lambda value: leases.incarnation_in(value) == 9,
+    "life": lambda value: leases.unpack_incarnation(value) == 9,
     "part": lambda value: parts.unpack_part(value) == SECTIONS,
     "root": lambda value: read_configuration(value)[:2] == [1, "token-1"],
     "generation": lambda value: (
--- a/packages/core/src/knapweedbridge_core/leases.py
+++ b/packages/core/src/knapweedbridge_core/leases.py
@@ -17,7 +17,7 @@
 LIVENESS_PREFIX = "knapweedbridge/life/"
 
 
-def incarnation_in(value: bytes) -> int:
+def unpack_incarnation(value: bytes) -> int:
     """Read the incarnation from the value of a daemon's life key."""
     return int(msgpack.unpackb(value)["incarnation"])
 
--- a/packages/core/src/knapweedbridge_core/owners.py
+++ b/packages/core/src/knapweedbridge_core/owners.py
@@ -9,7 +9,7 @@
 from knapweedbridge_core.computed_owners import ComputedOwners
 from knapweedbridge_core.configuration import EndpointEntry
 from knapweedbridge_core.events import StoreResponse
-from knapweedbridge_core.leases import LIVENESS_PREFIX, DaemonLease, incarnation_in
+from knapweedbridge_core.leases import LIVENESS_PREFIX, DaemonLease, unpack_incarnation
 from knapweedbridge_core.members import Members
 from knapweedbridge_core.owner_claims import (
     HELD_STAGES,
@@ -199,7 +199,7 @@
     def _lives(found: OwnerRecord, life: bytes) -> bool:
         if not life:
             return False
-        return found.incarnation in (ANY_INCARNATION, incarnation_in(life))
+        return found.incarnation in (ANY_INCARNATION, unpack_incarnation(life))
 
     def _write_claim(
         self, endpoint: str, claim: OwnerClaim, lives: dict[str, int], now_s: float
