--- a/features/plain/steps/counting_steps.py
+++ b/features/plain/steps/counting_steps.py
@@ -12,7 +12,7 @@
     PlainAsk,
 )
 from knapweedbridge_core.serving.cluster_state import EndpointNamed
-from knapweedbridge_core.serving.permit_messages import PermitAnswered
+from knapweedbridge_core.serving.permit_messages import PermitResponse
 from knapweedbridge_daemon.serving.plain_counters import counting_daemon
 from knapweedbridge_daemon.serving.plain_greeting import is_of_plain
 from knapweedbridge_standins.relay_pool import RelayPool
@@ -162,7 +162,7 @@
         each.link.plain._asking._asked_not_before_s.pop(keeper, None)
 
     async def take_older(sender, message):
-        if isinstance(message, PermitAnswered):
+        if isinstance(message, PermitResponse):
             await daemon.link.permits.heard(sender, message)
             return
         assert not is_of_plain(message), "its stream would end"
--- a/packages/core/src/knapweedbridge_core/serving/permit_messages.py
+++ b/packages/core/src/knapweedbridge_core/serving/permit_messages.py
@@ -52,8 +52,8 @@
     ticket: int
 
 
-@message
-class PermitAnswered:
+@message(tag="PermitAnswered")
+class PermitResponse:
     """A keeper answers a question for a permit.
 
     Parameters
@@ -75,7 +75,7 @@
 class RoomAsked:
     """A daemon asks a brittle endpoint's keeper whether it may send a call.
 
-    The answer is a `PermitAnswered`.
+    The answer is a `PermitResponse`.
 
     Parameters
     ----------
--- a/packages/daemon/src/knapweedbridge_daemon/serving/permits.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/permits.py
@@ -17,8 +17,8 @@
 from knapweedbridge_core.serving.permit_messages import (
     LimitReport,
     LimitUpdate,
-    PermitAnswered,
     PermitRequest,
+    PermitResponse,
     RoomAsked,
     TurnedAway,
 )
@@ -36,7 +36,7 @@
 """How long an endpoint is left alone whose keeper gave no answer."""
 
 OfPermits = (
-    LimitReport | LimitUpdate | PermitRequest | PermitAnswered | RoomAsked | TurnedAway
+    LimitReport | LimitUpdate | PermitRequest | PermitResponse | RoomAsked | TurnedAway
 )
 
 
@@ -157,7 +157,7 @@
 
     async def heard(self, daemon: str, message: OfPermits) -> None:
         """Take a daemon's question or news, or a keeper's."""
-        if isinstance(message, PermitAnswered):
+        if isinstance(message, PermitResponse):
             self._take_answer(message)
             return
         endpoint = self._endpoint_of(message)
@@ -170,10 +170,10 @@
             await self._take_as_keeper(daemon, endpoint, message)
         elif isinstance(message, PermitRequest | RoomAsked):
             # The asker will have heard of the new keeper by then.
-            answer = PermitAnswered(endpoint.name, message.ticket, SILENT_S)
+            answer = PermitResponse(endpoint.name, message.ticket, SILENT_S)
             await self._send(daemon, answer)
 
-    def _take_answer(self, message: PermitAnswered) -> None:
+    def _take_answer(self, message: PermitResponse) -> None:
         question = self._questions.get(message.ticket)
         if question is not None:
             question.wait_s = message.wait_s
@@ -223,7 +223,7 @@
         room, now_s = self._room(endpoint), anyio.current_time()
         wait_s = room.take(message.turned_away_per_s, now_s)
         self._hub.measures.count("permits", "not_given" if wait_s else "given")
-        answer = PermitAnswered(endpoint.name, message.ticket, wait_s)
+        answer = PermitResponse(endpoint.name, message.ticket, wait_s)
         await self._send(daemon, answer)
 
     def _room(self, endpoint: Endpoint) -> RejectionBudget:
@@ -245,7 +245,7 @@
             leased = self._hub.lease.may_order(suspended_clock_s())
             wait_s = pacer.take(now_s, 1.0 if leased else UNLEASED_SHARE)
             self._hub.measures.count("permits", "not_given" if wait_s else "given")
-            answer = PermitAnswered(endpoint.name, message.ticket, wait_s)
+            answer = PermitResponse(endpoint.name, message.ticket, wait_s)
             await self._send(daemon, answer)
 
     def _pacer(self, endpoint: Endpoint, now_s: float) -> PermitPacer:
--- a/packages/daemon/src/knapweedbridge_daemon/serving/plain_greeting.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/plain_greeting.py
@@ -7,7 +7,7 @@
 
 from typing import TypeGuard
 
-from knapweedbridge_core.serving.permit_messages import PermitAnswered
+from knapweedbridge_core.serving.permit_messages import PermitResponse
 from knapweedbridge_core.serving.plain_messages import (
     PlainAnswered,
     PlainAsked,
@@ -17,12 +17,12 @@
 NO_TICKET = 0
 """Questions for permits are numbered from 1."""
 
-GREETING = PermitAnswered("", NO_TICKET, 0.0)
+GREETING = PermitResponse("", NO_TICKET, 0.0)
 
 UNDERSTOOD = PlainAnswered("", NO_TICKET, 0, 0.0, 0.0)
 """Answer to the greeting."""
 
-OfPlain = PlainAsked | PlainAnswered | PlainRunning | PermitAnswered
+OfPlain = PlainAsked | PlainAnswered | PlainRunning | PermitResponse
 
 
 def is_of_plain(message: object) -> TypeGuard[OfPlain]:
