--- a/bench/mutants_serving.py
+++ b/bench/mutants_serving.py
@@ -12,7 +12,7 @@
     Fleet,
     NamedVersions,
     OriginQuestion,
-    PermitPacer,
+    PermitBucket,
     QuotaBucket,
     SoftwareVersions,
     StoreOutage,
@@ -190,7 +190,7 @@
     ),
     "calls to limited endpoints need no permit": (
         "what a limited endpoint gets",
-        [(PermitPacer, "take", lambda self, now_s, share=1.0: 0.0)],
+        [(PermitBucket, "take", lambda self, now_s, share=1.0: 0.0)],
     ),
     "each daemon gives itself permits": (
         "what a limited endpoint gets",
--- a/packages/core/src/knapweedbridge_core/serving/__init__.py
+++ b/packages/core/src/knapweedbridge_core/serving/__init__.py
@@ -79,7 +79,7 @@
     may_claim,
 )
 from knapweedbridge_core.serving.permits import (
-    PermitPacer,
+    PermitBucket,
     permit_keeper,
     without_limited,
 )
@@ -187,7 +187,7 @@
     "OwnerRecord",
     "PROTOCOL",
     "QuotaBucket",
-    "PermitPacer",
+    "PermitBucket",
     "PartLedger",
     "PlacementAsk",
     "PlainAsk",
--- a/packages/core/src/knapweedbridge_core/serving/permits.py
+++ b/packages/core/src/knapweedbridge_core/serving/permits.py
@@ -28,7 +28,7 @@
 ROUNDING = 1e-9
 
 
-class PermitPacer:
+class PermitBucket:
     """Gives the permits of one endpoint; times are of the keeper's clock.
 
     Parameters
--- a/packages/daemon/src/knapweedbridge_daemon/serving/permits.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/permits.py
@@ -9,7 +9,7 @@
 from knapweedbridge_core.serving import (
     Endpoint,
     EndpointStart,
-    PermitPacer,
+    PermitBucket,
     RejectionBudget,
     permit_keeper,
     understands,
@@ -67,7 +67,7 @@
         self._relaying = relaying
         self._tickets = itertools.count(1)
         self._questions: dict[int, Question] = {}
-        self._pacers: dict[str, PermitPacer] = {}
+        self._pacers: dict[str, PermitBucket] = {}
         self._rooms: dict[str, RejectionBudget] = {}
 
     async def take(self, endpoint: Endpoint, is_order: bool = False) -> bool:
@@ -248,12 +248,12 @@
             answer = PermitResponse(endpoint.name, message.ticket, wait_s)
             await self._send(daemon, answer)
 
-    def _pacer(self, endpoint: Endpoint, now_s: float) -> PermitPacer:
+    def _pacer(self, endpoint: Endpoint, now_s: float) -> PermitBucket:
         pacer = self._pacers.get(endpoint.name)
         if pacer is None:
             self._forget_others()
             # Whoever kept the endpoint before may give permits for a moment yet.
-            pacer = self._pacers[endpoint.name] = PermitPacer(now_s + TAKE_OVER_S)
+            pacer = self._pacers[endpoint.name] = PermitBucket(now_s + TAKE_OVER_S)
         return pacer
 
     def _forget_others(self) -> None:
@@ -266,7 +266,7 @@
                 self._rooms.pop(name, None)
 
     async def _tell_all(
-        self, endpoint: Endpoint, pacer: PermitPacer, now_s: float
+        self, endpoint: Endpoint, pacer: PermitBucket, now_s: float
     ) -> None:
         """Tell all daemons of a limit, through the relays in a large pool."""
         cluster = self._hub.cluster
