--- a/packages/core/src/knapweedbridge_core/teams.py
+++ b/packages/core/src/knapweedbridge_core/teams.py
@@ -53,7 +53,9 @@
     return {**kept, **folder}
 
 
-def foreign_faults(team: str, in_force: Sections, wanted: Sections) -> list[Fault]:
+def find_ownership_faults(
+    team: str, in_force: Sections, wanted: Sections
+) -> list[Fault]:
     """Return a fault for each change that a team's operator may not make."""
     faults: list[Fault] = []
     for change in compare(in_force, wanted):
--- a/packages/daemon/src/knapweedbridge_daemon/proposals.py
+++ b/packages/daemon/src/knapweedbridge_daemon/proposals.py
@@ -15,7 +15,7 @@
 from knapweedbridge_core.folder import Folder, read_folder
 from knapweedbridge_core.members import Members
 from knapweedbridge_core.teams import (
-    foreign_faults,
+    find_ownership_faults,
     merge_team,
     sections_of,
     sections_seen_by,
@@ -118,7 +118,7 @@
 def _check_team(
     caller: Caller, base: Sections, wanted: Sections, folder: Folder
 ) -> None:
-    found = foreign_faults(caller.team, base, wanted)
+    found = find_ownership_faults(caller.team, base, wanted)
     if found:
         raise CheckError([folder.locate(fault) for fault in found])
 
@@ -269,7 +269,7 @@
         return earlier
     own = sections_of(caller.team, earlier)
     wanted = merge_team(caller.team, base, own)
-    found = foreign_faults(caller.team, base, wanted)
+    found = find_ownership_faults(caller.team, base, wanted)
     if found:
         raise CheckError(found)
     Folder(sections=wanted).check()
