--- a/features/paths/steps/decision_steps.py
+++ b/features/paths/steps/decision_steps.py
@@ -19,7 +19,7 @@
         done = {
             "is cut": lambda: self.paths.record_cut(who, self.now_s),
             "fails": lambda: self.paths.record_retry_failure(who, self.now_s),
-            "stands": lambda: self.paths.note_direct(who, self.now_s),
+            "stands": lambda: self.paths.record_direct(who, self.now_s),
             "fail": lambda: self.paths.record_other_failures(2),
             "is left": lambda: self.paths.record_other_failures(0),
             "go": lambda: self.paths.keep_only(set()),
--- a/packages/core/src/knapweedbridge_core/serving/endpoint_paths.py
+++ b/packages/core/src/knapweedbridge_core/serving/endpoint_paths.py
@@ -136,7 +136,7 @@
         """Return whether this host has reached an endpoint of late."""
         return now_s - self.linked_s <= LINKED_S
 
-    def note_direct(self, address: str, now_s: float) -> bool:
+    def record_direct(self, address: str, now_s: float) -> bool:
         """Record a direct connection; return whether its path had been cut.
 
         A host that had lost its links tries all paths again: they come back together.
--- a/packages/daemon/src/knapweedbridge_daemon/serving/endpoint_connector.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/endpoint_connector.py
@@ -231,7 +231,7 @@
             self._hub.pool.adopt(stream, attempt.destination.address)
 
     def _note_direct(self, address: str) -> None:
-        if self._hub.paths.note_direct(address, loop_time_s()):
+        if self._hub.paths.record_direct(address, loop_time_s()):
             self._hub.log.info(
                 "path.restored", address=address, still_cut=len(self._hub.paths)
             )
--- a/packages/daemon/src/knapweedbridge_daemon/serving/forwarding.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/forwarding.py
@@ -104,7 +104,7 @@
             return
         with contextlib.closing(upstream):
             set_options(stream.raw)
-            self._hub.paths.note_direct(asked.address, loop_time_s())
+            self._hub.paths.record_direct(asked.address, loop_time_s())
             self._hub.measures.count("tunnels_asked", "carried")
             await stream.send(encode(TunnelOpened(self.tunnels)))
             await self._carry(stream, upstream)
@@ -132,7 +132,7 @@
         with contextlib.suppress(OSError, TimeoutError):
             with anyio.fail_after(TRY_S):
                 stream = await byte_stream.connect_stream(*split_address(address))
-            self._hub.paths.note_direct(address, loop_time_s())
+            self._hub.paths.record_direct(address, loop_time_s())
             self._hub.pool.adopt(stream, address)
 
     async def _carry(self, stream: PeerSocket, upstream: ByteStream) -> None:
