--- a/packages/core/src/knapweedbridge_core/member_side.py
+++ b/packages/core/src/knapweedbridge_core/member_side.py
@@ -3,8 +3,8 @@
 from knapweedbridge_core import events, messages
 from knapweedbridge_core.context import Context, Handler, Side
 from knapweedbridge_core.deltas import Deltas
+from knapweedbridge_core.failure_detector import FailureDetector
 from knapweedbridge_core.members import Member, MemberState, Status
-from knapweedbridge_core.suspicions import FailureDetector
 
 SYNC_PAUSE_S = 5.0
 SYNC_WAIT_S = 2.0
