--- a/features/platform/steps/upgrade_steps.py
+++ b/features/platform/steps/upgrade_steps.py
@@ -21,7 +21,7 @@
     understands,
 )
 from knapweedbridge_core.serving.cluster_state import DaemonNamed, ProtocolNamed
-from knapweedbridge_core.serving.permit_messages import PermitRequest, RoomAsked
+from knapweedbridge_core.serving.permit_messages import CapacityRequest, PermitRequest
 
 GRACE_S = 3
 CALL_EVERY_S = 0.05
@@ -215,7 +215,7 @@
 
 @when("it is sent a question for room and one for a permit")
 def is_sent(context):
-    sent = [RoomAsked("e", 0, 2.0, 1), PermitRequest("e", 0, 2.0, 0.0, 2)]
+    sent = [CapacityRequest("e", 0, 2.0, 1), PermitRequest("e", 0, 2.0, 0.0, 2)]
     protocol = context.cluster.protocol_of("h1")
     context.got = [each for each in sent if understands(protocol, each)]
 
@@ -223,5 +223,5 @@
 @then("it gets {what}")
 def gets(context, what):
     kinds = [type(each) for each in context.got]
-    expected = [RoomAsked, PermitRequest] if what == "both" else [PermitRequest]
+    expected = [CapacityRequest, PermitRequest] if what == "both" else [PermitRequest]
     assert kinds == expected, kinds
--- a/packages/core/src/knapweedbridge_core/serving/permit_messages.py
+++ b/packages/core/src/knapweedbridge_core/serving/permit_messages.py
@@ -71,8 +71,8 @@
     wait_s: float
 
 
-@message
-class RoomAsked:
+@message(tag="RoomAsked")
+class CapacityRequest:
     """A daemon asks a brittle endpoint's keeper whether it may send a call.
 
     The answer is a `PermitResponse`.
--- a/packages/core/src/knapweedbridge_core/serving/protocols.py
+++ b/packages/core/src/knapweedbridge_core/serving/protocols.py
@@ -17,14 +17,14 @@
     OriginResponse,
     OriginsRecorded,
 )
-from knapweedbridge_core.serving.permit_messages import RoomAsked, TurnedAway
+from knapweedbridge_core.serving.permit_messages import CapacityRequest, TurnedAway
 
 FIRST_PROTOCOL = 1
 PROTOCOL = 5
 """Rises with each kind of message, or meaning of one, that earlier versions lack."""
 
 SINCE: dict[type, int] = {
-    RoomAsked: 2,
+    CapacityRequest: 2,
     TurnedAway: 2,
     OriginsRecorded: 3,
     OriginRequest: 3,
--- a/packages/daemon/src/knapweedbridge_daemon/serving/permits.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/permits.py
@@ -15,11 +15,11 @@
     understands,
 )
 from knapweedbridge_core.serving.permit_messages import (
+    CapacityRequest,
     LimitReport,
     LimitUpdate,
     PermitRequest,
     PermitResponse,
-    RoomAsked,
     TurnedAway,
 )
 from knapweedbridge_core.serving.permits import (
@@ -36,7 +36,12 @@
 """How long an endpoint is left alone whose keeper gave no answer."""
 
 OfPermits = (
-    LimitReport | LimitUpdate | PermitRequest | PermitResponse | RoomAsked | TurnedAway
+    LimitReport
+    | LimitUpdate
+    | PermitRequest
+    | PermitResponse
+    | CapacityRequest
+    | TurnedAway
 )
 
 
@@ -97,14 +102,16 @@
         per_s = endpoint.pressure.brittle_per_s
         assert per_s is not None
         ticket = next(self._tickets)
-        asked = RoomAsked(endpoint.name, endpoint.record.started_ms, per_s, ticket)
+        asked = CapacityRequest(
+            endpoint.name, endpoint.record.started_ms, per_s, ticket
+        )
         keeper = self._keeper(endpoint)
         if keeper and not understands(self._hub.cluster.protocol_of(keeper), asked):
             return True
         return await self._is_permitted(endpoint, ticket, asked)
 
     async def _is_permitted(
-        self, endpoint: Endpoint, ticket: int, asked: PermitRequest | RoomAsked
+        self, endpoint: Endpoint, ticket: int, asked: PermitRequest | CapacityRequest
     ) -> bool:
         wait_s = await self._ask(endpoint, ticket, asked)
         self._hub.measures.count("permits", "refused" if wait_s else "taken")
@@ -114,7 +121,7 @@
         return not wait_s
 
     async def _ask(
-        self, endpoint: Endpoint, ticket: int, asked: PermitRequest | RoomAsked
+        self, endpoint: Endpoint, ticket: int, asked: PermitRequest | CapacityRequest
     ) -> float:
         """Ask for a permit; return 0.0 where it is given, else when to ask again."""
         keeper = self._keeper(endpoint)
@@ -168,7 +175,7 @@
             await self._hand_on(message)
         elif self._keeper(endpoint) == self._hub.identity.name:
             await self._take_as_keeper(daemon, endpoint, message)
-        elif isinstance(message, PermitRequest | RoomAsked):
+        elif isinstance(message, PermitRequest | CapacityRequest):
             # The asker will have heard of the new keeper by then.
             answer = PermitResponse(endpoint.name, message.ticket, SILENT_S)
             await self._send(daemon, answer)
@@ -181,7 +188,11 @@
 
     def _endpoint_of(
         self,
-        message: LimitReport | LimitUpdate | PermitRequest | RoomAsked | TurnedAway,
+        message: LimitReport
+        | LimitUpdate
+        | PermitRequest
+        | CapacityRequest
+        | TurnedAway,
     ) -> Endpoint | None:
         endpoint = self._hub.cluster.fleet.endpoints.get(message.endpoint)
         start = EndpointStart(message.endpoint, message.started_ms)
@@ -208,17 +219,17 @@
         self,
         daemon: str,
         endpoint: Endpoint,
-        message: LimitReport | PermitRequest | RoomAsked | TurnedAway,
+        message: LimitReport | PermitRequest | CapacityRequest | TurnedAway,
     ) -> None:
         if isinstance(message, TurnedAway):
             self._room(endpoint).turned_away(anyio.current_time())
-        elif isinstance(message, RoomAsked):
+        elif isinstance(message, CapacityRequest):
             await self._answer_room(daemon, endpoint, message)
         else:
             await self._take_limit_as_keeper(daemon, endpoint, message)
 
     async def _answer_room(
-        self, daemon: str, endpoint: Endpoint, message: RoomAsked
+        self, daemon: str, endpoint: Endpoint, message: CapacityRequest
     ) -> None:
         room, now_s = self._room(endpoint), anyio.current_time()
         wait_s = room.take(message.turned_away_per_s, now_s)
