--- a/packages/core/src/knapweedbridge_core/serving/__init__.py
+++ b/packages/core/src/knapweedbridge_core/serving/__init__.py
@@ -80,8 +80,8 @@
 )
 from knapweedbridge_core.serving.permits import (
     PermitBucket,
+    exclude_limited,
     permit_keeper,
-    without_limited,
 )
 from knapweedbridge_core.serving.placement import EnginePlacement, LeastCostPlacement
 from knapweedbridge_core.serving.placement_choices import (
@@ -253,5 +253,5 @@
     "stamp",
     "suffices",
     "understands",
-    "without_limited",
+    "exclude_limited",
 ]
--- a/packages/core/src/knapweedbridge_core/serving/permits.py
+++ b/packages/core/src/knapweedbridge_core/serving/permits.py
@@ -109,7 +109,7 @@
     return choose(endpoint, near or [n for each in candidates.values() for n in each])
 
 
-def without_limited(engines: list[Endpoint], model: ModelRef) -> list[Endpoint]:
+def exclude_limited(engines: list[Endpoint], model: ModelRef) -> list[Endpoint]:
     """Leave out limited engines that would have to load a model, where others can.
 
     Orders count among the calls that a limited engine takes.
--- a/packages/daemon/src/knapweedbridge_daemon/serving/placing.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/placing.py
@@ -22,7 +22,7 @@
     VersionsNow,
     Wait,
     WaitFor,
-    without_limited,
+    exclude_limited,
 )
 from knapweedbridge_core.serving.messages import AdapterRequest
 from knapweedbridge_core.serving.placement_choices import Choice
@@ -229,7 +229,7 @@
             policy.patience_s(case, call.accepted, now_s),
         )
         able = filter(call.may_go_to, cluster.fleet.reachable(call.service, now_s))
-        engines = without_limited(list(able), model)
+        engines = exclude_limited(list(able), model)
         cluster.fleet.guess_load(
             engines, self._hub.daemons, cluster.is_small_pool, now_s
         )
