--- a/packages/core/src/knapweedbridge_core/teams.py
+++ b/packages/core/src/knapweedbridge_core/teams.py
@@ -39,7 +39,7 @@
     }
 
 
-def sections_seen_by(team: str, sections: Sections) -> Sections:
+def sections_visible_to(team: str, sections: Sections) -> Sections:
     """Return the sections that a team's operator sees: its own and its team."""
     own = sections_of(team, sections)
     title = f"team {team}"
--- a/packages/daemon/src/knapweedbridge_daemon/proposals.py
+++ b/packages/daemon/src/knapweedbridge_daemon/proposals.py
@@ -18,7 +18,7 @@
     find_ownership_faults,
     merge_team,
     sections_of,
-    sections_seen_by,
+    sections_visible_to,
 )
 from knapweedbridge_daemon.access import Caller
 from knapweedbridge_daemon.configurations import (
@@ -93,7 +93,7 @@
     """Return the sections that a caller may see."""
     if caller.administrator:
         return sections
-    return sections_seen_by(caller.team, sections)
+    return sections_visible_to(caller.team, sections)
 
 
 def propose(caller: Caller, base: Sections, files: dict[str, str]) -> Sections:
