--- a/packages/core/src/knapweedbridge_core/serving/endpoint_paths.py
+++ b/packages/core/src/knapweedbridge_core/serving/endpoint_paths.py
@@ -92,7 +92,7 @@
         return self.has_lost_links or (path is not None and path.is_confirmed)
 
     @property
-    def are_suspect(self) -> bool:
+    def may_all_be_cut(self) -> bool:
         """Whether endpoints not found cut are to be tried, as all may be."""
         if self.has_lost_links:
             return False
@@ -130,7 +130,9 @@
         """
         self._others_failed += tried
         are_enough = self._others_failed >= OTHERS_TRIED or tried == 0
-        self.has_lost_links = self.has_lost_links or (self.are_suspect and are_enough)
+        self.has_lost_links = self.has_lost_links or (
+            self.may_all_be_cut and are_enough
+        )
 
     def is_linked(self, now_s: float) -> bool:
         """Return whether this host has reached an endpoint of late."""
--- a/packages/daemon/src/knapweedbridge_daemon/serving/endpoint_connector.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/endpoint_connector.py
@@ -263,10 +263,10 @@
                 self._wake = anyio.Event()
                 await self._wake.wait()
                 continue
-            if paths.are_suspect:
+            if paths.may_all_be_cut:
                 await self._try_others()
             await self._look(Destination(address, is_direct=True))
-            are_known = paths.are_confirmed and not paths.are_suspect
+            are_known = paths.are_confirmed and not paths.may_all_be_cut
             await anyio.sleep(TRY_S if are_known else TRY_SOON_S)
 
     async def _try_others(self) -> None:
