--- a/packages/core/src/knapweedbridge_core/failure_detector.py
+++ b/packages/core/src/knapweedbridge_core/failure_detector.py
@@ -4,7 +4,7 @@
 
 from knapweedbridge_core import messages
 from knapweedbridge_core.context import Context
-from knapweedbridge_core.heartbeats import Finding, Suspicion, Trial
+from knapweedbridge_core.suspicion import Finding, Suspicion, Trial
 
 ANSWER_SHARE = 0.5
 
