--- a/packages/core/src/knapweedbridge_core/serving/permit_messages.py
+++ b/packages/core/src/knapweedbridge_core/serving/permit_messages.py
@@ -95,8 +95,8 @@
     ticket: int
 
 
-@message
-class TurnedAway:
+@message(tag="TurnedAway")
+class CallRejected:
     """A daemon notifies a brittle endpoint's keeper that it had no room for a call."""
 
     endpoint: str
--- a/packages/core/src/knapweedbridge_core/serving/protocols.py
+++ b/packages/core/src/knapweedbridge_core/serving/protocols.py
@@ -17,7 +17,7 @@
     OriginResponse,
     OriginsRecorded,
 )
-from knapweedbridge_core.serving.permit_messages import CapacityRequest, TurnedAway
+from knapweedbridge_core.serving.permit_messages import CallRejected, CapacityRequest
 
 FIRST_PROTOCOL = 1
 PROTOCOL = 5
@@ -25,7 +25,7 @@
 
 SINCE: dict[type, int] = {
     CapacityRequest: 2,
-    TurnedAway: 2,
+    CallRejected: 2,
     OriginsRecorded: 3,
     OriginRequest: 3,
     OriginResponse: 3,
--- a/packages/daemon/src/knapweedbridge_daemon/serving/permits.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/permits.py
@@ -15,12 +15,12 @@
     understands,
 )
 from knapweedbridge_core.serving.permit_messages import (
+    CallRejected,
     CapacityRequest,
     LimitReport,
     LimitUpdate,
     PermitRequest,
     PermitResponse,
-    TurnedAway,
 )
 from knapweedbridge_core.serving.permits import (
     TAKE_OVER_S,
@@ -41,7 +41,7 @@
     | PermitRequest
     | PermitResponse
     | CapacityRequest
-    | TurnedAway
+    | CallRejected
 )
 
 
@@ -153,7 +153,7 @@
         """Notify a brittle endpoint's keeper that it had no room for a call."""
         keeper = self._keeper(endpoint)
         if keeper is not None:
-            message = TurnedAway(endpoint.name, endpoint.record.started_ms)
+            message = CallRejected(endpoint.name, endpoint.record.started_ms)
             await self._send(keeper, message)
 
     async def limit_heard(self, endpoint: Endpoint) -> None:
@@ -192,7 +192,7 @@
         | LimitUpdate
         | PermitRequest
         | CapacityRequest
-        | TurnedAway,
+        | CallRejected,
     ) -> Endpoint | None:
         endpoint = self._hub.cluster.fleet.endpoints.get(message.endpoint)
         start = EndpointStart(message.endpoint, message.started_ms)
@@ -219,9 +219,9 @@
         self,
         daemon: str,
         endpoint: Endpoint,
-        message: LimitReport | PermitRequest | CapacityRequest | TurnedAway,
+        message: LimitReport | PermitRequest | CapacityRequest | CallRejected,
     ) -> None:
-        if isinstance(message, TurnedAway):
+        if isinstance(message, CallRejected):
             self._room(endpoint).turned_away(anyio.current_time())
         elif isinstance(message, CapacityRequest):
             await self._answer_room(daemon, endpoint, message)
