--- a/features/plain/steps/choice_steps.py
+++ b/features/plain/steps/choice_steps.py
@@ -9,7 +9,7 @@
     PlainCounter,
     PlainState,
     choose_counted,
-    suffices,
+    is_clearly_best,
 )
 
 LISTED = {"h1", "h2", "h9"}
@@ -41,7 +41,9 @@
     names = frozenset() if tried == "none" else frozenset(tried.split())
     ask = PlainAsk(centre, names, objective)
     fresh = [each for each in context.endpoints if each.name not in names]
-    context.enough = suffices(ask, fresh[0], context.endpoints, context.states, 0.0)
+    context.enough = is_clearly_best(
+        ask, fresh[0], context.endpoints, context.states, 0.0
+    )
     context.chosen = choose_counted(ask, context.endpoints, context.states, 0.0)
 
 
--- a/packages/core/src/knapweedbridge_core/serving/__init__.py
+++ b/packages/core/src/knapweedbridge_core/serving/__init__.py
@@ -96,7 +96,7 @@
     PlainAsk,
     choose_counted,
     choose_plain,
-    suffices,
+    is_clearly_best,
 )
 from knapweedbridge_core.serving.plain_load import PlainCounter, PlainState
 from knapweedbridge_core.serving.pool import hearers, is_small, ranked, relays
@@ -251,7 +251,7 @@
     "revision_of",
     "split",
     "stamp",
-    "suffices",
+    "is_clearly_best",
     "understands",
     "exclude_limited",
 ]
--- a/packages/core/src/knapweedbridge_core/serving/plain_choice.py
+++ b/packages/core/src/knapweedbridge_core/serving/plain_choice.py
@@ -62,7 +62,7 @@
 """What the counting daemons told of endpoints, by endpoint."""
 
 
-def suffices(
+def is_clearly_best(
     ask: PlainAsk,
     endpoint: Endpoint,
     endpoints: list[Endpoint],
--- a/packages/daemon/src/knapweedbridge_daemon/serving/plain_counting.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/plain_counting.py
@@ -18,7 +18,7 @@
     PlainState,
     choose_counted,
     choose_plain,
-    suffices,
+    is_clearly_best,
 )
 from knapweedbridge_core.serving.plain_messages import PlainRunning
 from knapweedbridge_daemon.serving.hub import Hub, Send
@@ -95,7 +95,7 @@
             return first
         found[first.name] = self._without_new(found[first.name])
         states = {**self._asking.known(), **found}
-        if suffices(ask, first, endpoints, states, anyio.current_time()):
+        if is_clearly_best(ask, first, endpoints, states, anyio.current_time()):
             self._hub.measures.count("plain_choices", "first")
             return first
         others = self._others(ask, first, endpoints)
--- a/packages/standins/src/knapweedbridge_standins/plain_pool/ways.py
+++ b/packages/standins/src/knapweedbridge_standins/plain_pool/ways.py
@@ -11,7 +11,7 @@
     PlainState,
     choose_counted,
     choose_plain,
-    suffices,
+    is_clearly_best,
 )
 
 ANSWER_S = (0.002, 0.004)
@@ -134,7 +134,7 @@
         assert first is not None
         heard = self._heard[daemon]
         heard[first.name] = self._counter(first).state(now_s)
-        if suffices(ask, first, endpoints, heard, now_s):
+        if is_clearly_best(ask, first, endpoints, heard, now_s):
             return Chosen(first, ANSWER_S[1], 2)
         for each in endpoints:
             heard[each.name] = self._counter(each).state(now_s)
