--- a/bench/accounts.py
+++ b/bench/accounts.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 from knapweedbridge_core.codec import decode, encode, unpacker
-from knapweedbridge_core.key_digests import digest_key, shown_key_digest
+from knapweedbridge_core.key_digests import bearer_key_digest, digest_key
 from knapweedbridge_core.serving import (
     Accounts,
     ClientAccount,
@@ -52,7 +52,7 @@
     purse, bucket = QuotaBalance(), QuotaBucket(0.0)
 
     def look_up(number: int) -> None:
-        digest = shown_key_digest(f"Bearer key-{number % ACCOUNTS}")
+        digest = bearer_key_digest(f"Bearer key-{number % ACCOUNTS}")
         accounts.holding(digest)
 
     def spend_held(number: int) -> None:
--- a/packages/core/src/knapweedbridge_core/key_digests.py
+++ b/packages/core/src/knapweedbridge_core/key_digests.py
@@ -10,7 +10,7 @@
     return hashlib.sha256(key.encode()).hexdigest()
 
 
-def shown_key_digest(authorization: str) -> str:
+def bearer_key_digest(authorization: str) -> str:
     """Return the digest of the key in an Authorization header; empty: it has none."""
     scheme, _, key = authorization.strip().partition(" ")
     key = key.strip()
