--- a/packages/core/src/knapweedbridge_core/serving/endpoint_paths.py
+++ b/packages/core/src/knapweedbridge_core/serving/endpoint_paths.py
@@ -172,7 +172,7 @@
         """Record that a direct connection failed, or does not stand soon."""
         self._doubted_s[address] = now_s
 
-    def are_doubted(self, now_s: float) -> bool:
+    def may_be_unlinked(self, now_s: float) -> bool:
         """Return whether it may be this host whose links are lost."""
         recent = (now_s - at_s <= DOUBTED_S for at_s in self._doubted_s.values())
         return len(self._cut) + sum(recent) >= DOUBTED_ENDPOINTS
--- a/packages/daemon/src/knapweedbridge_daemon/serving/endpoint_connector.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/endpoint_connector.py
@@ -118,7 +118,7 @@
         hub, now_s = self._hub, loop_time_s()
         is_blamed = hub.crashes.has_recent_failure(destination.endpoint, now_s)
         return self._may_ask(destination) and (
-            is_blamed or hub.paths.are_doubted(now_s)
+            is_blamed or hub.paths.may_be_unlinked(now_s)
         )
 
     def _may_ask(self, destination: Destination) -> bool:
