--- a/packages/core/src/knapweedbridge_core/serving/plain_messages.py
+++ b/packages/core/src/knapweedbridge_core/serving/plain_messages.py
@@ -3,8 +3,8 @@
 from knapweedbridge_core.codec import message
 
 
-@message
-class PlainAsked:
+@message(tag="PlainAsked")
+class PlainLoadRequest:
     """A daemon asks an endpoint's counting daemon what runs there.
 
     Parameters
@@ -55,7 +55,7 @@
     Parameters
     ----------
     endpoint, started_ms, calls
-        As in `PlainAsked`.
+        As in `PlainLoadRequest`.
     ended, refused : int
         Requests that were answered, and that the endpoint did not run, since the last
         telling.
--- a/packages/daemon/src/knapweedbridge_daemon/serving/plain_asking.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/plain_asking.py
@@ -7,7 +7,7 @@
 import anyio
 
 from knapweedbridge_core.serving import Endpoint, EndpointStart, PlainState
-from knapweedbridge_core.serving.plain_messages import PlainAnswered, PlainAsked
+from knapweedbridge_core.serving.plain_messages import PlainAnswered, PlainLoadRequest
 from knapweedbridge_daemon.serving.hub import Hub, Send
 from knapweedbridge_daemon.serving.plain_counters import counting_daemon
 from knapweedbridge_daemon.serving.plain_greeting import GREETING, NO_TICKET, OfPlain
@@ -98,7 +98,7 @@
         for ticket, (endpoint, keeper) in list(question.asked.items()):
             start = endpoint.start
             calls = self._calls.get(start, 0)
-            asked = PlainAsked(endpoint.name, start.started_ms, ticket, calls)
+            asked = PlainLoadRequest(endpoint.name, start.started_ms, ticket, calls)
             await self._send(keeper, asked)
         if question.asked:
             with anyio.move_on_at(until_s):
--- a/packages/daemon/src/knapweedbridge_daemon/serving/plain_counters.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/plain_counters.py
@@ -10,7 +10,7 @@
 )
 from knapweedbridge_core.serving.plain_messages import (
     PlainAnswered,
-    PlainAsked,
+    PlainLoadRequest,
     PlainRunning,
 )
 from knapweedbridge_daemon.serving.hub import Hub, Send
@@ -43,12 +43,12 @@
         """Take a daemon's greeting, question or word of what it runs."""
         if message == GREETING:
             await self._send(daemon, UNDERSTOOD)
-        elif isinstance(message, PlainAsked | PlainRunning):
+        elif isinstance(message, PlainLoadRequest | PlainRunning):
             endpoint = self._endpoint_of(message)
             if endpoint is not None:
                 await self._take(daemon, endpoint, message)
 
-    def _endpoint_of(self, message: PlainAsked | PlainRunning) -> Endpoint | None:
+    def _endpoint_of(self, message: PlainLoadRequest | PlainRunning) -> Endpoint | None:
         """Return the endpoint of a message; None where another daemon counts there."""
         endpoint = self._hub.cluster.fleet.endpoints.get(message.endpoint)
         start = EndpointStart(message.endpoint, message.started_ms)
@@ -58,7 +58,7 @@
         return endpoint if is_ours else None
 
     async def _take(
-        self, daemon: str, endpoint: Endpoint, message: PlainAsked | PlainRunning
+        self, daemon: str, endpoint: Endpoint, message: PlainLoadRequest | PlainRunning
     ) -> None:
         now_s = anyio.current_time()
         counter = self._counter(endpoint)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/plain_greeting.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/plain_greeting.py
@@ -10,7 +10,7 @@
 from knapweedbridge_core.serving.permit_messages import PermitResponse
 from knapweedbridge_core.serving.plain_messages import (
     PlainAnswered,
-    PlainAsked,
+    PlainLoadRequest,
     PlainRunning,
 )
 
@@ -22,10 +22,10 @@
 UNDERSTOOD = PlainAnswered("", NO_TICKET, 0, 0.0, 0.0)
 """Answer to the greeting."""
 
-OfPlain = PlainAsked | PlainAnswered | PlainRunning | PermitResponse
+OfPlain = PlainLoadRequest | PlainAnswered | PlainRunning | PermitResponse
 
 
 def is_of_plain(message: object) -> TypeGuard[OfPlain]:
     """Tell whether a message is about plain requests, or a greeting."""
-    is_new = isinstance(message, PlainAsked | PlainAnswered | PlainRunning)
+    is_new = isinstance(message, PlainLoadRequest | PlainAnswered | PlainRunning)
     return is_new or message == GREETING
