--- a/features/prompt_parts/steps/ledger_steps.py
+++ b/features/prompt_parts/steps/ledger_steps.py
@@ -10,7 +10,7 @@
     LostCall,
     PartLedger,
     fingerprint,
-    refusal_mark,
+    refusal_key,
     refusal_publishers,
 )
 from knapweedbridge_core.serving.crash_parts import MOST_CALLS, MOST_SUSPECTS
@@ -123,7 +123,7 @@
     if "before" in when_begun:
         ledger.begun(["p"], NOW_S - (121 if "121" in when_begun else 1))
     if "the store says" in when_begun:
-        ledger.record_published(refusal_mark(["p"]), 60.0, NOW_S + 2)
+        ledger.record_published(refusal_key(["p"]), 60.0, NOW_S + 2)
     else:
         lose(ledger, 0, NOW_S)
         lose(ledger, 1, NOW_S + 2)
@@ -273,6 +273,6 @@
     assert len({daemon for daemon, _ in pool.sent}) == len(pool.sent)
     for daemon, message in pool.sent:
         for _, *parts in message.calls:
-            marks = [refusal_mark((part,)) for part in parts]
+            marks = [refusal_key((part,)) for part in parts]
             kept = any(daemon in refusal_publishers(m, pool.keepers) for m in marks)
             assert pool.is_small_pool or kept, (daemon, message)
--- a/packages/core/src/knapweedbridge_core/serving/__init__.py
+++ b/packages/core/src/knapweedbridge_core/serving/__init__.py
@@ -130,7 +130,7 @@
     VersionView,
     origin_keepers,
 )
-from knapweedbridge_core.serving.suspect_parts import LostCall, refusal_mark
+from knapweedbridge_core.serving.suspect_parts import LostCall, refusal_key
 
 __all__ = [
     "Accounts",
@@ -244,7 +244,7 @@
     "permit_keeper",
     "ranked",
     "refusal_publishers",
-    "refusal_mark",
+    "refusal_key",
     "relays",
     "resumes",
     "shared_parts",
--- a/packages/core/src/knapweedbridge_core/serving/crash_parts.py
+++ b/packages/core/src/knapweedbridge_core/serving/crash_parts.py
@@ -19,7 +19,7 @@
     PartLoss,
     SuspectPart,
     parts_refused,
-    refusal_mark,
+    refusal_key,
 )
 
 REQUESTS_REFUSED = 2
@@ -238,7 +238,7 @@
             return max(0.0, suspect.lapses_s - now_s)
         if not (suspect.refusals and not suspect.losses):
             return 0.0
-        turn = self.turn_of(refusal_mark(suspect.companions))
+        turn = self.turn_of(refusal_key(suspect.companions))
         return max(0.0, suspect.released_s + turn * TRIAL_TURN_S - now_s)
 
     def _lapse(self, part: str, suspect: SuspectPart, now_s: float) -> None:
@@ -295,7 +295,7 @@
             self._lapse(part, suspect, now_s)
             if not self._is_refused(part, suspect, now_s):
                 continue
-            mark = refusal_mark(self.unproven(suspect.companions, now_s))
+            mark = refusal_key(self.unproven(suspect.companions, now_s))
             if self._published.get(mark, 0.0) <= now_s:
                 found[mark] = suspect.lapses_s - now_s
         return found
--- a/packages/core/src/knapweedbridge_core/serving/suspect_parts.py
+++ b/packages/core/src/knapweedbridge_core/serving/suspect_parts.py
@@ -15,7 +15,7 @@
 SEPARATOR = "."
 
 
-def refusal_mark(parts: Iterable[str]) -> str:
+def refusal_key(parts: Iterable[str]) -> str:
     """Return what the store knows the refusal of prompts with all some parts by."""
     return SEPARATOR.join((PART_PREFIX, *sorted(parts)))
 
--- a/packages/daemon/src/knapweedbridge_daemon/serving/blame_notifier.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/blame_notifier.py
@@ -6,7 +6,7 @@
 from knapweedbridge_core.serving import (
     LossFound,
     LostCall,
-    refusal_mark,
+    refusal_key,
     refusal_publishers,
 )
 from knapweedbridge_core.serving.blame_messages import (
@@ -119,7 +119,7 @@
 
     def _hearers_of_parts(self, parts: Iterable[str]) -> dict[str, set[str]]:
         """Return which other hosts receive what of some parts."""
-        by_mark = {refusal_mark((part,)): part for part in parts}
+        by_mark = {refusal_key((part,)): part for part in parts}
         hearers = self._hearers(by_mark).items()
         return {name: {by_mark[mark] for mark in marks} for name, marks in hearers}
 
