--- a/packages/core/src/knapweedbridge_core/timeline.py
+++ b/packages/core/src/knapweedbridge_core/timeline.py
@@ -35,7 +35,7 @@
             self._last = Stamp(self._last.wall_us, self._last.count + 1)
         return self._last
 
-    def heard(self, stamp: Stamp, wall_us: int) -> Stamp:
+    def receive(self, stamp: Stamp, wall_us: int) -> Stamp:
         """Stamp the arrival of a message, after its sending."""
         if stamp > self._last:
             self._last = stamp
--- a/packages/daemon/src/knapweedbridge_daemon/stamps.py
+++ b/packages/daemon/src/knapweedbridge_daemon/stamps.py
@@ -96,5 +96,5 @@
         wall_us, count = value
         now_us = self._wall_us()
         if wall_us <= now_us + MAX_AHEAD_US:
-            self._clock.heard(Stamp(wall_us, count), now_us)
+            self._clock.receive(Stamp(wall_us, count), now_us)
         return True
