--- a/packages/core/src/knapweedbridge_core/serving/endpoint_paths.py
+++ b/packages/core/src/knapweedbridge_core/serving/endpoint_paths.py
@@ -168,7 +168,7 @@
         """Whether all paths found cut are confirmed."""
         return all(path.is_confirmed for path in self._cut.values())
 
-    def note_doubted(self, address: str, now_s: float) -> None:
+    def record_doubt(self, address: str, now_s: float) -> None:
         """Record that a direct connection failed, or does not stand soon."""
         self._doubted_s[address] = now_s
 
--- a/packages/daemon/src/knapweedbridge_daemon/serving/endpoint_connector.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/endpoint_connector.py
@@ -104,7 +104,7 @@
             with anyio.move_on_after(HEDGE_S):
                 await attempt.done.wait()
             if attempt.stream is None:
-                self._hub.paths.note_doubted(destination.address, loop_time_s())
+                self._hub.paths.record_doubt(destination.address, loop_time_s())
             if attempt.stream is not None or not self._must_ask(destination):
                 await attempt.done.wait()
                 return self._take(attempt)
