--- a/features/platform/steps/path_steps.py
+++ b/features/platform/steps/path_steps.py
@@ -81,7 +81,7 @@
     shared = ["in the last moment"]
     for desk in path.desks:
         desk.behaviour = shared
-    with mock.patch.object(attempting, "first_byte_patience_s", lambda *_: 0.1):
+    with mock.patch.object(attempting, "first_byte_timeout_s", lambda *_: 0.1):
         context.response = await path.call("GET", "/look/1")
 
 
--- a/packages/core/src/knapweedbridge_core/serving/__init__.py
+++ b/packages/core/src/knapweedbridge_core/serving/__init__.py
@@ -13,7 +13,7 @@
 from knapweedbridge_core.serving.attempts import (
     AttemptEnd,
     CallProgress,
-    first_byte_patience_s,
+    first_byte_timeout_s,
     first_event_patience_s,
     may_send_again,
     resumes,
@@ -229,7 +229,7 @@
     "claimants",
     "era_of",
     "fingerprint",
-    "first_byte_patience_s",
+    "first_byte_timeout_s",
     "first_event_patience_s",
     "has_spare",
     "hearers",
--- a/packages/core/src/knapweedbridge_core/serving/attempts.py
+++ b/packages/core/src/knapweedbridge_core/serving/attempts.py
@@ -81,7 +81,7 @@
 comes within the objective as often as not."""
 
 
-def first_byte_patience_s(route: Route, reading_s: float) -> float:
+def first_byte_timeout_s(route: Route, reading_s: float) -> float:
     """Return how long an attempt may stay silent before another is better.
 
     An answer can be lost, or its endpoint dark, with the connection open. Only calls
--- a/packages/daemon/src/knapweedbridge_daemon/serving/attempting.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/attempting.py
@@ -5,7 +5,7 @@
 from knapweedbridge_core.serving import (
     AttemptEnd,
     Endpoint,
-    first_byte_patience_s,
+    first_byte_timeout_s,
     resumes,
 )
 from knapweedbridge_core.serving.messages import AdapterMissed
@@ -156,7 +156,7 @@
         if not (call.route.repeatable and others_left):
             return math.inf
         now_s = loop_time_s()
-        patience_s = first_byte_patience_s(
+        patience_s = first_byte_timeout_s(
             call.route, self._hub.rates.first_event_s(target.endpoint, 0, now_s)
         )
         return now_s + patience_s
