--- a/packages/core/src/knapweedbridge_core/serving/plain_messages.py
+++ b/packages/core/src/knapweedbridge_core/serving/plain_messages.py
@@ -25,8 +25,8 @@
     calls: int
 
 
-@message
-class PlainAnswered:
+@message(tag="PlainAnswered")
+class PlainLoadResponse:
     """A counting daemon answers.
 
     Parameters
--- a/packages/daemon/src/knapweedbridge_daemon/serving/plain_asking.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/plain_asking.py
@@ -7,7 +7,10 @@
 import anyio
 
 from knapweedbridge_core.serving import Endpoint, EndpointStart, PlainState
-from knapweedbridge_core.serving.plain_messages import PlainAnswered, PlainLoadRequest
+from knapweedbridge_core.serving.plain_messages import (
+    PlainLoadRequest,
+    PlainLoadResponse,
+)
 from knapweedbridge_daemon.serving.hub import Hub, Send
 from knapweedbridge_daemon.serving.plain_counters import counting_daemon
 from knapweedbridge_daemon.serving.plain_greeting import GREETING, NO_TICKET, OfPlain
@@ -125,7 +128,7 @@
 
     def take(self, daemon: str, message: OfPlain) -> bool:
         """Take an answer; False where a message is none."""
-        if not isinstance(message, PlainAnswered):
+        if not isinstance(message, PlainLoadResponse):
             return False
         record = self._hub.cluster.daemons.get(daemon)
         if message.ticket == NO_TICKET:
@@ -144,7 +147,7 @@
             for name in known.keys() - self._hub.cluster.daemons.keys():
                 del known[name]
 
-    def _take_answer(self, question: Question, message: PlainAnswered) -> None:
+    def _take_answer(self, question: Question, message: PlainLoadResponse) -> None:
         endpoint, _ = question.asked.pop(message.ticket)
         calls = self._calls.get(endpoint.start, 0)
         running = message.others_calls + calls
--- a/packages/daemon/src/knapweedbridge_daemon/serving/plain_counters.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/plain_counters.py
@@ -9,8 +9,8 @@
     permit_keeper,
 )
 from knapweedbridge_core.serving.plain_messages import (
-    PlainAnswered,
     PlainLoadRequest,
+    PlainLoadResponse,
     PlainRunning,
 )
 from knapweedbridge_daemon.serving.hub import Hub, Send
@@ -68,7 +68,7 @@
         counter.take(daemon, message.calls, now_s)
         state = counter.state(now_s, asker=daemon)
         self._hub.measures.count("plain_questions", "given")
-        answer = PlainAnswered(
+        answer = PlainLoadResponse(
             endpoint.name, message.ticket, state.running, state.work_s, state.usual_s
         )
         await self._send(daemon, answer)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/plain_greeting.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/plain_greeting.py
@@ -9,8 +9,8 @@
 
 from knapweedbridge_core.serving.permit_messages import PermitResponse
 from knapweedbridge_core.serving.plain_messages import (
-    PlainAnswered,
     PlainLoadRequest,
+    PlainLoadResponse,
     PlainRunning,
 )
 
@@ -19,13 +19,13 @@
 
 GREETING = PermitResponse("", NO_TICKET, 0.0)
 
-UNDERSTOOD = PlainAnswered("", NO_TICKET, 0, 0.0, 0.0)
+UNDERSTOOD = PlainLoadResponse("", NO_TICKET, 0, 0.0, 0.0)
 """Answer to the greeting."""
 
-OfPlain = PlainLoadRequest | PlainAnswered | PlainRunning | PermitResponse
+OfPlain = PlainLoadRequest | PlainLoadResponse | PlainRunning | PermitResponse
 
 
 def is_of_plain(message: object) -> TypeGuard[OfPlain]:
     """Tell whether a message is about plain requests, or a greeting."""
-    is_new = isinstance(message, PlainLoadRequest | PlainAnswered | PlainRunning)
+    is_new = isinstance(message, PlainLoadRequest | PlainLoadResponse | PlainRunning)
     return is_new or message == GREETING
