--- a/packages/core/src/knapweedbridge_core/order_side.py
+++ b/packages/core/src/knapweedbridge_core/order_side.py
@@ -8,7 +8,7 @@
 from knapweedbridge_core.estate import Estate, EstateSide
 from knapweedbridge_core.names import AdapterVersion
 from knapweedbridge_core.tenure import Tenure
-from knapweedbridge_core.times import WITNESS_S
+from knapweedbridge_core.times import WITNESS_TIMEOUT_S
 
 WITNESSES = 2
 
@@ -94,7 +94,7 @@
 
     def _cancel_unwitnessed(self, tenure: Tenure) -> None:
         for model, since_s in list(tenure.announced_evictions.items()):
-            if self._context.now_s - since_s >= WITNESS_S:
+            if self._context.now_s - since_s >= WITNESS_TIMEOUT_S:
                 del tenure.announced_evictions[model]
                 self._cancel(tenure, model)
 
--- a/packages/core/src/knapweedbridge_core/times.py
+++ b/packages/core/src/knapweedbridge_core/times.py
@@ -37,7 +37,7 @@
 SILENT_S = 3.0
 """A holder that has not answered for this long is looked up in the service."""
 
-WITNESS_S = 2.0
+WITNESS_TIMEOUT_S = 2.0
 """An eviction that no witness notes within this time is not ordered."""
 
 REPORT_S = 10.0
