--- a/packages/core/src/knapweedbridge_core/serving/endpoint_paths.py
+++ b/packages/core/src/knapweedbridge_core/serving/endpoint_paths.py
@@ -177,7 +177,7 @@
         recent = (now_s - at_s <= DOUBTED_S for at_s in self._doubted_s.values())
         return len(self._cut) + sum(recent) >= DOUBTED_ENDPOINTS
 
-    def note_unreached(self, address: str, now_s: float) -> None:
+    def record_unreached(self, address: str, now_s: float) -> None:
         """Record that another host does not reach an endpoint either."""
         self._unreached_s[address] = now_s
 
--- a/packages/daemon/src/knapweedbridge_daemon/serving/endpoint_connector.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/endpoint_connector.py
@@ -213,7 +213,7 @@
 
     def _note_unreached(self, attempt: DirectAttempt, failure: NotSentError) -> None:
         if failure.is_lost:
-            self._hub.paths.note_unreached(attempt.destination.address, loop_time_s())
+            self._hub.paths.record_unreached(attempt.destination.address, loop_time_s())
 
     @staticmethod
     def _take(attempt: DirectAttempt) -> ClientStream:
