--- a/packages/core/src/knapweedbridge_core/serving/__init__.py
+++ b/packages/core/src/knapweedbridge_core/serving/__init__.py
@@ -14,7 +14,7 @@
     AttemptEnd,
     CallProgress,
     first_byte_timeout_s,
-    first_event_patience_s,
+    max_first_event_wait_s,
     may_send_again,
     resumes,
 )
@@ -230,7 +230,7 @@
     "era_of",
     "fingerprint",
     "first_byte_timeout_s",
-    "first_event_patience_s",
+    "max_first_event_wait_s",
     "has_spare",
     "hearers",
     "is_small",
--- a/packages/core/src/knapweedbridge_core/serving/attempts.py
+++ b/packages/core/src/knapweedbridge_core/serving/attempts.py
@@ -108,7 +108,7 @@
 by some tenths of a second."""
 
 
-def first_event_patience_s(route: Route, waited_s: float, accepted: bool) -> float:
+def max_first_event_wait_s(route: Route, waited_s: float, accepted: bool) -> float:
     """Return the longest wait for a first event that a call is accepted with.
 
     Parameters
--- a/packages/core/src/knapweedbridge_core/serving/caller_wait.py
+++ b/packages/core/src/knapweedbridge_core/serving/caller_wait.py
@@ -10,7 +10,7 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from knapweedbridge_core.serving.attempts import first_event_patience_s
+from knapweedbridge_core.serving.attempts import max_first_event_wait_s
 from knapweedbridge_core.serving.deployment import Route
 from knapweedbridge_core.serving.model_ref import ModelRef
 
@@ -177,7 +177,7 @@
         """
         if self.begun:
             return RESUME_PATIENCE_S
-        return first_event_patience_s(self.route, waited_s, accepted)
+        return max_first_event_wait_s(self.route, waited_s, accepted)
 
     @property
     def leaves_s(self) -> float:
--- a/packages/standins/src/knapweedbridge_standins/serving_load/daemon.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_load/daemon.py
@@ -15,7 +15,7 @@
     SendTo,
     TooLate,
     WaitFor,
-    first_event_patience_s,
+    max_first_event_wait_s,
 )
 from knapweedbridge_core.serving.messages import EngineChanged, EngineTold
 from knapweedbridge_core.serving.placement_choices import Choice
@@ -153,7 +153,7 @@
             self.data_centre,
             frozenset(call.refused),
             call.prompt_tokens,
-            first_event_patience_s(route, waited_s, call.accepted),
+            max_first_event_wait_s(route, waited_s, call.accepted),
         )
         engines = self.fleet.reachable("llm", now_s)
         self.fleet.guess_load(engines, len(self.pool.daemons), self.pool.small, now_s)
