--- a/packages/core/src/knapweedbridge_core/serving/plain_messages.py
+++ b/packages/core/src/knapweedbridge_core/serving/plain_messages.py
@@ -48,8 +48,8 @@
     usual_s: float
 
 
-@message
-class PlainRunning:
+@message(tag="PlainRunning")
+class PlainLoadReport:
     """A daemon tells an endpoint's counting daemon of its requests there.
 
     Parameters
--- a/packages/daemon/src/knapweedbridge_daemon/serving/plain_counters.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/plain_counters.py
@@ -9,9 +9,9 @@
     permit_keeper,
 )
 from knapweedbridge_core.serving.plain_messages import (
+    PlainLoadReport,
     PlainLoadRequest,
     PlainLoadResponse,
-    PlainRunning,
 )
 from knapweedbridge_daemon.serving.hub import Hub, Send
 from knapweedbridge_daemon.serving.plain_greeting import GREETING, UNDERSTOOD, OfPlain
@@ -43,12 +43,14 @@
         """Take a daemon's greeting, question or word of what it runs."""
         if message == GREETING:
             await self._send(daemon, UNDERSTOOD)
-        elif isinstance(message, PlainLoadRequest | PlainRunning):
+        elif isinstance(message, PlainLoadRequest | PlainLoadReport):
             endpoint = self._endpoint_of(message)
             if endpoint is not None:
                 await self._take(daemon, endpoint, message)
 
-    def _endpoint_of(self, message: PlainLoadRequest | PlainRunning) -> Endpoint | None:
+    def _endpoint_of(
+        self, message: PlainLoadRequest | PlainLoadReport
+    ) -> Endpoint | None:
         """Return the endpoint of a message; None where another daemon counts there."""
         endpoint = self._hub.cluster.fleet.endpoints.get(message.endpoint)
         start = EndpointStart(message.endpoint, message.started_ms)
@@ -58,11 +60,14 @@
         return endpoint if is_ours else None
 
     async def _take(
-        self, daemon: str, endpoint: Endpoint, message: PlainLoadRequest | PlainRunning
+        self,
+        daemon: str,
+        endpoint: Endpoint,
+        message: PlainLoadRequest | PlainLoadReport,
     ) -> None:
         now_s = anyio.current_time()
         counter = self._counter(endpoint)
-        if isinstance(message, PlainRunning):
+        if isinstance(message, PlainLoadReport):
             counter.take(daemon, message.calls, now_s, message.ended, message.refused)
             return
         counter.take(daemon, message.calls, now_s)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/plain_counting.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/plain_counting.py
@@ -20,7 +20,7 @@
     choose_plain,
     is_clearly_best,
 )
-from knapweedbridge_core.serving.plain_messages import PlainRunning
+from knapweedbridge_core.serving.plain_messages import PlainLoadReport
 from knapweedbridge_daemon.serving.hub import Hub, Send
 from knapweedbridge_daemon.serving.plain_asking import PlainAsking
 from knapweedbridge_daemon.serving.plain_counters import PlainCounters, counting_daemon
@@ -172,7 +172,7 @@
         if keeper is None or not self._asking.understands(keeper):
             return
         start, calls = endpoint.start, self._calls[endpoint.start]
-        told = PlainRunning(endpoint.name, start.started_ms, calls, ended, refused)
+        told = PlainLoadReport(endpoint.name, start.started_ms, calls, ended, refused)
         await self._send(keeper, told)
 
     async def heard(self, daemon: str, message: OfPlain) -> None:
--- a/packages/daemon/src/knapweedbridge_daemon/serving/plain_greeting.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/plain_greeting.py
@@ -9,9 +9,9 @@
 
 from knapweedbridge_core.serving.permit_messages import PermitResponse
 from knapweedbridge_core.serving.plain_messages import (
+    PlainLoadReport,
     PlainLoadRequest,
     PlainLoadResponse,
-    PlainRunning,
 )
 
 NO_TICKET = 0
@@ -22,10 +22,10 @@
 UNDERSTOOD = PlainLoadResponse("", NO_TICKET, 0, 0.0, 0.0)
 """Answer to the greeting."""
 
-OfPlain = PlainLoadRequest | PlainLoadResponse | PlainRunning | PermitResponse
+OfPlain = PlainLoadRequest | PlainLoadResponse | PlainLoadReport | PermitResponse
 
 
 def is_of_plain(message: object) -> TypeGuard[OfPlain]:
     """Tell whether a message is about plain requests, or a greeting."""
-    is_new = isinstance(message, PlainLoadRequest | PlainLoadResponse | PlainRunning)
+    is_new = isinstance(message, PlainLoadRequest | PlainLoadResponse | PlainLoadReport)
     return is_new or message == GREETING
