--- a/packages/core/src/knapweedbridge_core/owner_side.py
+++ b/packages/core/src/knapweedbridge_core/owner_side.py
@@ -13,7 +13,7 @@
 from knapweedbridge_core.owners import Change, Claimed, HandedOver, Lost, Owners
 from knapweedbridge_core.takeover import Takeover, wait_s
 from knapweedbridge_core.tenure import Tenure
-from knapweedbridge_core.times import REFRESH_S, REPORT_S, RETRY_S
+from knapweedbridge_core.times import REFRESH_S, REPORT_MAX_AGE_S, RETRY_S
 
 RUNNING_STEP = 0.25
 
@@ -210,7 +210,7 @@
         now_s = self._context.now_s
         wanted_s = tenure.ledger.wanted_report_s
         in_doubt = tenure.reported_s <= wanted_s < now_s
-        old = now_s - tenure.reported_s >= REPORT_S
+        old = now_s - tenure.reported_s >= REPORT_MAX_AGE_S
         asked = now_s - tenure.report_asked_s < RETRY_S
         if asked or not (in_doubt or old or not tenure.ready):
             return
--- a/packages/core/src/knapweedbridge_core/times.py
+++ b/packages/core/src/knapweedbridge_core/times.py
@@ -40,7 +40,7 @@
 WITNESS_TIMEOUT_S = 2.0
 """An eviction that no witness notes within this time is not ordered."""
 
-REPORT_S = 10.0
+REPORT_MAX_AGE_S = 10.0
 """Oldest report an owner works with while nothing asks for a newer one."""
 
 REFRESH_S = 5.0
