--- a/packages/core/src/knapweedbridge_core/serving/endpoint_paths.py
+++ b/packages/core/src/knapweedbridge_core/serving/endpoint_paths.py
@@ -14,7 +14,7 @@
 SUSPECT_PATHS = 3
 """Cut paths with which a host tries endpoints that it has not found cut."""
 
-OTHERS_TRIED = 2
+OTHERS_TO_TRY = 2
 """Endpoints not found cut that must fail too before a host counts as without links."""
 
 DOUBTED_S = 2.0
@@ -129,7 +129,7 @@
             How many; 0: there is none that was not found cut.
         """
         self._others_failed += tried
-        are_enough = self._others_failed >= OTHERS_TRIED or tried == 0
+        are_enough = self._others_failed >= OTHERS_TO_TRY or tried == 0
         self.has_lost_links = self.has_lost_links or (
             self.may_all_be_cut and are_enough
         )
--- a/packages/daemon/src/knapweedbridge_daemon/serving/endpoint_connector.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/endpoint_connector.py
@@ -6,7 +6,7 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from knapweedbridge_core.serving.endpoint_paths import OTHERS_TRIED
+from knapweedbridge_core.serving.endpoint_paths import OTHERS_TO_TRY
 from knapweedbridge_daemon.serving.client_streams import ClientStream
 from knapweedbridge_daemon.serving.clock import loop_time_s
 from knapweedbridge_daemon.serving.http_client import (
@@ -277,7 +277,7 @@
             for each in self._hub.cluster.fleet.engines()
             if not paths.is_cut(each.record.address)
         ]
-        some = random.sample(others, min(OTHERS_TRIED, len(others)))
+        some = random.sample(others, min(OTHERS_TO_TRY, len(others)))
         found: list[bool] = []
         async with anyio.create_task_group() as tasks:
             for each in some:
