--- a/bench/mutants_serving.py
+++ b/bench/mutants_serving.py
@@ -38,12 +38,12 @@
 # Histories import the function by name, so it is replaced where they call it.
 SEND_AGAIN = rewritten(
     attempts_module,
-    "may_send_again",
+    "may_retry",
     ("    if not route.repeatable:\n        return False\n", ""),
 )[2]
 COUNT_NOTHING = rewritten(
     attempts_module,
-    "may_send_again",
+    "may_retry",
     ("len(progress.runs) < route.max_attempts", "True"),
 )[2]
 
@@ -118,11 +118,11 @@
     ),
     "a call that may run once is sent again": (
         "at most once",
-        [(repeats_module, "may_send_again", SEND_AGAIN)],
+        [(repeats_module, "may_retry", SEND_AGAIN)],
     ),
     "attempts are not counted": (
         "at most once",
-        [(repeats_module, "may_send_again", COUNT_NOTHING)],
+        [(repeats_module, "may_retry", COUNT_NOTHING)],
     ),
     "endpoints that leave get new work": (
         "who is leaving",
--- a/features/serving/steps/decision_steps.py
+++ b/features/serving/steps/decision_steps.py
@@ -22,7 +22,7 @@
     WaitFor,
     fingerprint,
     loss_id,
-    may_send_again,
+    may_retry,
     parse_model,
 )
 from knapweedbridge_core.serving.endpoint import HeldAdapter
@@ -295,7 +295,7 @@
 def call_ends(context, kind, most, runs, end):
     progress = CallProgress({f"e{run}" for run in range(runs)}, sends=1)
     ended = AttemptEnd(end.replace(" ", "_"))
-    context.again = may_send_again(make_route(kind, most), progress, ended)
+    context.again = may_retry(make_route(kind, most), progress, ended)
 
 
 class RepeatingPool:
--- a/packages/core/src/knapweedbridge_core/serving/__init__.py
+++ b/packages/core/src/knapweedbridge_core/serving/__init__.py
@@ -15,7 +15,7 @@
     CallProgress,
     first_byte_timeout_s,
     max_first_event_wait_s,
-    may_send_again,
+    may_retry,
     resumes,
 )
 from knapweedbridge_core.serving.backpressure import Backpressure
@@ -237,7 +237,7 @@
     "keepers",
     "loss_id",
     "may_claim",
-    "may_send_again",
+    "may_retry",
     "nearest_first",
     "origin_keepers",
     "parse_model",
--- a/packages/core/src/knapweedbridge_core/serving/attempts.py
+++ b/packages/core/src/knapweedbridge_core/serving/attempts.py
@@ -52,7 +52,7 @@
         return bool(self.runs)
 
 
-def may_send_again(route: Route, progress: CallProgress, end: AttemptEnd) -> bool:
+def may_retry(route: Route, progress: CallProgress, end: AttemptEnd) -> bool:
     """Tell whether a call may be sent once more, the retry budget aside."""
     if progress.sends >= SENDS_MOST:
         return False
--- a/packages/daemon/src/knapweedbridge_daemon/serving/calls.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/calls.py
@@ -2,7 +2,7 @@
 
 import anyio
 
-from knapweedbridge_core.serving import AttemptEnd, may_send_again
+from knapweedbridge_core.serving import AttemptEnd, may_retry
 from knapweedbridge_daemon.serving.attempt_records import MARK_DIGITS
 from knapweedbridge_daemon.serving.attempting import Attempting
 from knapweedbridge_daemon.serving.call import Call, Target
@@ -99,7 +99,7 @@
         return end
 
     def _send_again(self, call: Call, end: AttemptEnd) -> bool:
-        if not may_send_again(call.route, call.progress, end):
+        if not may_retry(call.route, call.progress, end):
             return False
         now_s = anyio.current_time()
         if self._blamed_for_s(call):
--- a/packages/standins/src/knapweedbridge_standins/serving_histories/repeats.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_histories/repeats.py
@@ -7,7 +7,7 @@
     CallKind,
     CallProgress,
     Route,
-    may_send_again,
+    may_retry,
 )
 
 ENDS = [
@@ -52,5 +52,5 @@
             progress.runs.add(f"e{progress.sends}")
         if end is AttemptEnd.ANSWERED:
             return runs
-        if not may_send_again(route, progress, end):
+        if not may_retry(route, progress, end):
             return runs
