--- a/bench/mutants_serving.py
+++ b/bench/mutants_serving.py
@@ -11,7 +11,7 @@
     EngineKeeper,
     Fleet,
     NamedVersions,
-    OriginQuestion,
+    OriginQuery,
     PermitBucket,
     QuotaBucket,
     SoftwareVersions,
@@ -251,7 +251,7 @@
         "which version began a stream",
         [
             rewritten(
-                OriginQuestion,
+                OriginQuery,
                 "software",
                 (
                     "if len(self._versions) != 1 or not self._is_current:",
@@ -278,7 +278,7 @@
         "which version began a stream",
         [
             rewritten(
-                OriginQuestion,
+                OriginQuery,
                 "answer",
                 ("self._versions.update(versions)", "pass"),
             ),
--- a/features/software_versions/steps/decision_steps.py
+++ b/features/software_versions/steps/decision_steps.py
@@ -10,7 +10,7 @@
     CallKind,
     EndpointRecord,
     Fleet,
-    OriginQuestion,
+    OriginQuery,
     OriginTable,
     Route,
     SoftwareVersions,
@@ -55,7 +55,7 @@
 
 @given('a host that knows the versions "{known:Any}", its view is {view:w}')
 def asking_host(context, known, view):
-    context.question = OriginQuestion(KEEPERS, view_of(known, view))
+    context.question = OriginQuery(KEEPERS, view_of(known, view))
 
 
 @when('its keepers answer "{answers:Any}"')
--- a/packages/core/src/knapweedbridge_core/serving/__init__.py
+++ b/packages/core/src/knapweedbridge_core/serving/__init__.py
@@ -124,7 +124,7 @@
 from knapweedbridge_core.serving.store_eras import era_of, revision_of, stamp
 from knapweedbridge_core.serving.store_outage import StoreOutage
 from knapweedbridge_core.serving.stream_origins import (
-    OriginQuestion,
+    OriginQuery,
     OriginTable,
     StreamOrigin,
     VersionView,
@@ -180,7 +180,7 @@
     "Order",
     "OrderAnswer",
     "OrderKind",
-    "OriginQuestion",
+    "OriginQuery",
     "OriginTable",
     "OverdueLast",
     "OverloadPolicy",
--- a/packages/core/src/knapweedbridge_core/serving/stream_origins.py
+++ b/packages/core/src/knapweedbridge_core/serving/stream_origins.py
@@ -116,7 +116,7 @@
     is_current: bool
 
 
-class OriginQuestion:
+class OriginQuery:
     """A question for the origin of a stream that this host does not know.
 
     Parameters
--- a/packages/daemon/src/knapweedbridge_daemon/serving/stream_resuming.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/stream_resuming.py
@@ -8,7 +8,7 @@
 
 from knapweedbridge_core.serving import (
     Endpoint,
-    OriginQuestion,
+    OriginQuery,
     OriginTable,
     StreamOrigin,
     VersionView,
@@ -60,13 +60,13 @@
 
     Parameters
     ----------
-    question : OriginQuestion
+    question : OriginQuery
         What has been answered.
     origin : StreamOrigin or None
         The origin as a keeper recorded it.
     """
 
-    question: OriginQuestion
+    question: OriginQuery
     origin: StreamOrigin | None = None
     decided: anyio.Event = field(default_factory=anyio.Event)
 
@@ -270,7 +270,7 @@
         """Ask the keepers of a stream; one without a name for versions alone."""
         age_s = self._most_age_s(call)
         view = self._view(call.service, age_s)
-        inquiry = Inquiry(OriginQuestion([], view))
+        inquiry = Inquiry(OriginQuery([], view))
         ticket = next(self._tickets)
         asked = OriginRequest(call.details.resumes, call.service, age_s, ticket)
         self._inquiries[ticket] = inquiry
@@ -300,7 +300,7 @@
             await self._ask(call, question, asked)
 
     async def _ask(
-        self, call: Call, question: OriginQuestion, asked: OriginRequest
+        self, call: Call, question: OriginQuery, asked: OriginRequest
     ) -> None:
         """Ask the keepers of a call's stream that have not answered yet."""
         keepers = origin_keepers(call.details.stream_id, self._candidates())
