--- a/packages/core/src/knapweedbridge_core/owner_side.py
+++ b/packages/core/src/knapweedbridge_core/owner_side.py
@@ -13,7 +13,7 @@
 from knapweedbridge_core.owners import Change, Claimed, HandedOver, Lost, Owners
 from knapweedbridge_core.takeover import Takeover, wait_s
 from knapweedbridge_core.tenure import Tenure
-from knapweedbridge_core.times import REFRESH_S, REPORT_MAX_AGE_S, RETRY_S
+from knapweedbridge_core.times import REFRESH_INTERVAL_S, REPORT_MAX_AGE_S, RETRY_S
 
 RUNNING_STEP = 0.25
 
@@ -222,7 +222,7 @@
         running = tenure.ledger.running
         step = max(2.0, RUNNING_STEP * tenure.published_running)
         moved = abs(running - tenure.published_running) >= step
-        stale = self._context.now_s - tenure.published_s >= REFRESH_S
+        stale = self._context.now_s - tenure.published_s >= REFRESH_INTERVAL_S
         if moved or stale or tenure.published != self._estate.grantable(tenure):
             self._estate.publish(tenure)
 
--- a/packages/core/src/knapweedbridge_core/times.py
+++ b/packages/core/src/knapweedbridge_core/times.py
@@ -43,5 +43,5 @@
 REPORT_MAX_AGE_S = 10.0
 """Oldest report an owner works with while nothing asks for a newer one."""
 
-REFRESH_S = 5.0
+REFRESH_INTERVAL_S = 5.0
 """Pause between publications of an endpoint on which nothing changed."""
