--- a/features/serving/steps/kept_view_steps.py
+++ b/features/serving/steps/kept_view_steps.py
@@ -28,7 +28,7 @@
     OwnerGone,
     OwnerNamed,
 )
-from knapweedbridge_core.serving.engine_calls import CALLS_LIFE_S, EngineCalls
+from knapweedbridge_core.serving.engine_calls import CALLS_MAX_AGE_S, EngineCalls
 from knapweedbridge_core.serving.messages import EngineTold, RunningCallsReport
 from knapweedbridge_daemon.serving.engine_owning import EngineOwner
 from knapweedbridge_daemon.serving.lease_keeping import LeaseKeeper
@@ -179,7 +179,7 @@
         known = {
             each: (told, heard_s)
             for each, (told, heard_s) in known.items()
-            if now_s - heard_s <= CALLS_LIFE_S
+            if now_s - heard_s <= CALLS_MAX_AGE_S
         }
         sums = Counter()
         for told, _ in known.values():
--- a/packages/core/src/knapweedbridge_core/serving/engine_calls.py
+++ b/packages/core/src/knapweedbridge_core/serving/engine_calls.py
@@ -5,7 +5,7 @@
 from knapweedbridge_core.serving.engine_places import DaemonCalls
 from knapweedbridge_core.serving.model_ref import ModelRef
 
-CALLS_LIFE_S = 2.5
+CALLS_MAX_AGE_S = 2.5
 """How long a daemon's word of its calls stands: it is repeated each second. One that
 is cut off from the store goes on serving, so its lapsed record says nothing of them.
 """
@@ -26,7 +26,7 @@
         known = self._by_daemon.get(daemon)
         before = known.calls if known else {}
         self._by_daemon[daemon] = DaemonCalls(calls, unread_tokens, now_s)
-        self._silent_from_s = min(self._silent_from_s, now_s + CALLS_LIFE_S)
+        self._silent_from_s = min(self._silent_from_s, now_s + CALLS_MAX_AGE_S)
         if before == calls:
             return []
         self._count(before, calls)
@@ -48,10 +48,10 @@
         if now_s < self._silent_from_s:
             return
         for daemon, known in list(self._by_daemon.items()):
-            if now_s - known.heard_s > CALLS_LIFE_S:
+            if now_s - known.heard_s > CALLS_MAX_AGE_S:
                 self.forget(daemon)
         heard = (each.heard_s for each in self._by_daemon.values())
-        self._silent_from_s = min(heard, default=now_s) + CALLS_LIFE_S
+        self._silent_from_s = min(heard, default=now_s) + CALLS_MAX_AGE_S
 
     def forget(self, daemon: str) -> None:
         """Drop the calls of a daemon that is gone."""
