--- a/bench/mutants_serving.py
+++ b/bench/mutants_serving.py
@@ -14,9 +14,9 @@
     OriginQuery,
     PermitBucket,
     QuotaBucket,
+    ServableVersions,
     SoftwareVersions,
     StoreOutage,
-    VersionsNow,
 )
 from knapweedbridge_core.serving import attempts as attempts_module
 from knapweedbridge_core.serving import named_versions as named_versions_module
@@ -106,7 +106,7 @@
     ),
     "an engine's queue is not looked at for an older version": (
         "which version work begins on",
-        [rewritten(VersionsNow, "serves", ("+ begins_in_s +", "+"))],
+        [rewritten(ServableVersions, "serves", ("+ begins_in_s +", "+"))],
     ),
     "an older owner's record is taken": (
         "what is in force",
--- a/features/serving/steps/decision_steps.py
+++ b/features/serving/steps/decision_steps.py
@@ -17,8 +17,8 @@
     PlacementAsk,
     RetryBudget,
     SendTo,
+    ServableVersions,
     TooLate,
-    VersionsNow,
     WaitFor,
     fingerprint,
     loss_id,
@@ -206,7 +206,7 @@
     for naming in namings.split(" and "):
         version, ago_s = naming.replace(" was named", "").removesuffix(" s ago").split()
         named.take(int(version), NOW_S - float(ago_s))
-    place(context, "m/x", VersionsNow(named, NOW_S, BOUND_S), patience_s)
+    place(context, "m/x", ServableVersions(named, NOW_S, BOUND_S), patience_s)
 
 
 @then("it is sent to version 1, and the newest is loaded on another engine")
--- a/packages/core/src/knapweedbridge_core/serving/__init__.py
+++ b/packages/core/src/knapweedbridge_core/serving/__init__.py
@@ -59,7 +59,7 @@
 from knapweedbridge_core.serving.load_times import LoadTimes
 from knapweedbridge_core.serving.memory_budget import HeldKind, MemoryBudget
 from knapweedbridge_core.serving.model_ref import ModelRef, parse_model
-from knapweedbridge_core.serving.named_versions import NamedVersions, VersionsNow
+from knapweedbridge_core.serving.named_versions import NamedVersions, ServableVersions
 from knapweedbridge_core.serving.overload import (
     Admit,
     AdmitAll,
@@ -217,7 +217,7 @@
     "UsualDeadlines",
     "Verdict",
     "VersionView",
-    "VersionsNow",
+    "ServableVersions",
     "Wait",
     "WaitFor",
     "WeightedService",
--- a/packages/core/src/knapweedbridge_core/serving/cluster_state.py
+++ b/packages/core/src/knapweedbridge_core/serving/cluster_state.py
@@ -9,7 +9,7 @@
 from knapweedbridge_core.serving.endpoint_records import EndpointRecord
 from knapweedbridge_core.serving.fleet import Fleet
 from knapweedbridge_core.serving.model_ref import ModelRef
-from knapweedbridge_core.serving.named_versions import NamedVersions, VersionsNow
+from knapweedbridge_core.serving.named_versions import NamedVersions, ServableVersions
 from knapweedbridge_core.serving.ownership import (
     DaemonRecord,
     LostOwner,
@@ -370,7 +370,7 @@
         named = self.versions.get(model)
         return named.newest if named else None
 
-    def versions_now(self, model: ModelRef, now_s: float) -> VersionsNow | None:
+    def versions_now(self, model: ModelRef, now_s: float) -> ServableVersions | None:
         """Return which versions may serve a call; None where none was named.
 
         Parameters
@@ -379,7 +379,7 @@
             By the clock of ``known_s`` in `take`.
         """
         named = self.versions.get(model)
-        return VersionsNow(named, now_s, self.older_version_s) if named else None
+        return ServableVersions(named, now_s, self.older_version_s) if named else None
 
     def begins_until_s(self, model: ModelRef, version: int) -> float:
         """Return until when work may begin on a version; infinite for the newest."""
--- a/packages/core/src/knapweedbridge_core/serving/named_versions.py
+++ b/packages/core/src/knapweedbridge_core/serving/named_versions.py
@@ -62,7 +62,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class VersionsNow:
+class ServableVersions:
     """The versions of an adapter that may serve a call which is placed now.
 
     Parameters
--- a/packages/core/src/knapweedbridge_core/serving/placement_choices.py
+++ b/packages/core/src/knapweedbridge_core/serving/placement_choices.py
@@ -5,7 +5,7 @@
 
 from knapweedbridge_core.serving.endpoint import Endpoint
 from knapweedbridge_core.serving.model_ref import ModelRef
-from knapweedbridge_core.serving.named_versions import VersionsNow
+from knapweedbridge_core.serving.named_versions import ServableVersions
 
 
 @dataclass(slots=True, frozen=True)
@@ -16,7 +16,7 @@
     ----------
     model : ModelRef
         Base model, or an adapter of it.
-    versions : VersionsNow or None
+    versions : ServableVersions or None
         Versions of the adapter that may serve it; None: any.
     data_centre : str
         Where the daemon stands.
@@ -29,7 +29,7 @@
     """
 
     model: ModelRef
-    versions: VersionsNow | None
+    versions: ServableVersions | None
     data_centre: str
     tried: frozenset[str] = frozenset()
     prompt_tokens: int = 0
--- a/packages/daemon/src/knapweedbridge_daemon/serving/placing.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/placing.py
@@ -17,9 +17,9 @@
     PlainAsk,
     Reject,
     SendTo,
+    ServableVersions,
     TooLate,
     Verdict,
-    VersionsNow,
     Wait,
     WaitFor,
     exclude_limited,
@@ -239,7 +239,7 @@
         call.placed = True
         return self._admission.choose(ask, engines, objective_s, is_new, now_s)
 
-    def _versions_now(self, model: ModelRef) -> VersionsNow | None:
+    def _versions_now(self, model: ModelRef) -> ServableVersions | None:
         if not model.adapter:
             return None
         return self._hub.cluster.versions_now(model, self._hub.steady_s())
