--- a/packages/core/src/knapweedbridge_core/leases.py
+++ b/packages/core/src/knapweedbridge_core/leases.py
@@ -7,7 +7,7 @@
 from knapweedbridge_core.actions import Action, StoreWrite
 from knapweedbridge_core.events import StoreResponse
 from knapweedbridge_core.times import (
-    CALL_LIMIT_S,
+    CALL_TIMEOUT_S,
     CLOCK_MARGIN_S,
     LEASE_S,
     RENEW_S,
@@ -54,7 +54,7 @@
 
     def tick(self, now_s: float) -> list[Action]:
         """Renew the lease when that is due."""
-        if self._in_flight and now_s - self._sent_s < CALL_LIMIT_S:
+        if self._in_flight and now_s - self._sent_s < CALL_TIMEOUT_S:
             return []
         return [self._write(now_s)] if now_s >= self._due_s else []
 
--- a/packages/core/src/knapweedbridge_core/owners.py
+++ b/packages/core/src/knapweedbridge_core/owners.py
@@ -21,7 +21,7 @@
     Stage,
 )
 from knapweedbridge_core.owner_records import ANY_INCARNATION, OWNER_KEY, OwnerRecord
-from knapweedbridge_core.times import CALL_LIMIT_S, RETRY_S
+from knapweedbridge_core.times import CALL_TIMEOUT_S, RETRY_S
 
 __all__ = ["Change", "Claimed", "HandedOver", "Lost", "Owners", "Stage"]
 
@@ -106,7 +106,7 @@
     @staticmethod
     def _is_due(claim: OwnerClaim, now_s: float) -> bool:
         settled = claim.stage in (Stage.IDLE, Stage.READING_BACK)
-        pause_s = RETRY_S if settled else CALL_LIMIT_S
+        pause_s = RETRY_S if settled else CALL_TIMEOUT_S
         return now_s - claim.since_s >= pause_s
 
     def _check(self, endpoint: str, claim: OwnerClaim, now_s: float) -> list[Action]:
--- a/packages/core/src/knapweedbridge_core/times.py
+++ b/packages/core/src/knapweedbridge_core/times.py
@@ -13,7 +13,7 @@
 RETRY_S = 1.0
 """Pause before a failed call is repeated."""
 
-CALL_LIMIT_S = 5.0
+CALL_TIMEOUT_S = 5.0
 """After this a call without a reply is given up."""
 
 CLOCK_MARGIN_S = 2.0
