--- a/bench/mutants_serving.py
+++ b/bench/mutants_serving.py
@@ -8,7 +8,7 @@
     Backpressure,
     ClusterState,
     Endpoint,
-    EngineKeeper,
+    EngineController,
     Fleet,
     NamedVersions,
     OriginQuery,
@@ -64,7 +64,7 @@
         "what an engine is ordered",
         [
             rewritten(
-                EngineKeeper,
+                EngineController,
                 "_toward",
                 ("len(self.places) < self.limits.adapter_places", "True"),
             )
--- a/features/serving/steps/keeper_steps.py
+++ b/features/serving/steps/keeper_steps.py
@@ -3,7 +3,7 @@
 
 from knapweedbridge_core.serving import (
     BaseModel,
-    EngineKeeper,
+    EngineController,
     EngineLimits,
     EngineReport,
     ModelRef,
@@ -18,7 +18,7 @@
 
 
 def keeper_with(places, held, now_s=NOW_S, used_s=None):
-    keeper = EngineKeeper(limits(places), used_s)
+    keeper = EngineController(limits(places), used_s)
     adapters = {adapter(name): 0 for name in held}
     keeper.reported(EngineReport(0, ("m",), adapters, {}), now_s)
     return keeper
@@ -147,7 +147,7 @@
 
 @given("an owned engine that started empty")
 def started_empty(context):
-    context.keeper = EngineKeeper(limits(2))
+    context.keeper = EngineController(limits(2))
     context.keeper.reported(EngineReport(0, (), {}, {}), NOW_S)
 
 
--- a/features/speeds/steps/learning_steps.py
+++ b/features/speeds/steps/learning_steps.py
@@ -7,7 +7,7 @@
 from knapweedbridge_core.serving import (
     EndpointRecord,
     EndpointStart,
-    EngineKeeper,
+    EngineController,
     EngineLimits,
     EngineSpeed,
     EngineTeller,
@@ -110,7 +110,7 @@
     for number in range(100):
         context.rates.saw_first_event(endpoint, 1000, 0, s, NOW_S + number)
         context.rates.saw_gap(endpoint, gap)
-    context.keeper = EngineKeeper(EngineLimits(12, 10**6, 8, 1e5, 10.0))
+    context.keeper = EngineController(EngineLimits(12, 10**6, 8, 1e5, 10.0))
     context.reports = SpeedReports(context.rates, "llm", context.keeper.speed)
 
 
@@ -211,7 +211,7 @@
 def streams_seen(context, s, gap, learn):
     context.hub = make_hub(learn == "yes")
     endpoint = context.hub.cluster.fleet.endpoints["e1"]
-    context.keeper = EngineKeeper(EngineLimits(12, 10**6, 8, 1e5, 10.0))
+    context.keeper = EngineController(EngineLimits(12, 10**6, 8, 1e5, 10.0))
     speeds = SpeedKeeping(context.hub, endpoint, context.keeper)
     sent = anyio.run(reported, context.hub, s, gap)
     assert [daemon for daemon, _ in sent] == ["h1"], sent
--- a/packages/core/src/knapweedbridge_core/serving/__init__.py
+++ b/packages/core/src/knapweedbridge_core/serving/__init__.py
@@ -43,7 +43,7 @@
 from knapweedbridge_core.serving.endpoint import Endpoint
 from knapweedbridge_core.serving.endpoint_paths import EndpointPaths
 from knapweedbridge_core.serving.endpoint_records import EndpointRecord, EndpointStart
-from knapweedbridge_core.serving.engine_keeper import EngineKeeper
+from knapweedbridge_core.serving.engine_keeper import EngineController
 from knapweedbridge_core.serving.engine_orders import (
     EngineReport,
     Order,
@@ -152,7 +152,7 @@
     "EndpointPaths",
     "EndpointRecord",
     "EndpointStart",
-    "EngineKeeper",
+    "EngineController",
     "EngineLimits",
     "EnginePlacement",
     "EngineRates",
--- a/packages/core/src/knapweedbridge_core/serving/engine_keeper.py
+++ b/packages/core/src/knapweedbridge_core/serving/engine_keeper.py
@@ -55,7 +55,7 @@
 just sent there takes some milliseconds."""
 
 
-class EngineKeeper:
+class EngineController:
     """Plans the orders for one engine.
 
     Parameters
--- a/packages/core/src/knapweedbridge_core/serving/engine_teller.py
+++ b/packages/core/src/knapweedbridge_core/serving/engine_teller.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, replace
 
 from knapweedbridge_core.serving.endpoint_records import EndpointStart
-from knapweedbridge_core.serving.engine_keeper import EngineKeeper
+from knapweedbridge_core.serving.engine_keeper import EngineController
 from knapweedbridge_core.serving.messages import EngineChanged, EngineTold
 from knapweedbridge_core.serving.model_ref import ModelRef
 
@@ -42,11 +42,13 @@
         The engine.
     number : int
         The owner's fencing number.
-    keeper : EngineKeeper
+    keeper : EngineController
         What the engine holds.
     """
 
-    def __init__(self, start: EndpointStart, number: int, keeper: EngineKeeper) -> None:
+    def __init__(
+        self, start: EndpointStart, number: int, keeper: EngineController
+    ) -> None:
         self._endpoint = start.endpoint
         self._started_ms = start.started_ms
         self._number = number
--- a/packages/daemon/src/knapweedbridge_daemon/serving/engine_owning.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/engine_owning.py
@@ -7,7 +7,7 @@
 from knapweedbridge_core.serving import (
     Endpoint,
     EndpointStart,
-    EngineKeeper,
+    EngineController,
     EngineLimits,
     EngineReport,
     EngineTeller,
@@ -105,7 +105,7 @@
         self._predecessors: set[str] = set()
         self._reported_s = float("-inf")
         self._askers: set[str] = set()
-        self.keeper = EngineKeeper(
+        self.keeper = EngineController(
             limits,
             {model: held.used_s for model, held in endpoint.held.items()},
             endpoint.recent,
--- a/packages/daemon/src/knapweedbridge_daemon/serving/engine_speeds.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/engine_speeds.py
@@ -1,6 +1,6 @@
 """Learns the speed of one engine that this daemon owns, and tells of it."""
 
-from knapweedbridge_core.serving import Endpoint, EngineKeeper, SpeedReports
+from knapweedbridge_core.serving import Endpoint, EngineController, SpeedReports
 from knapweedbridge_core.serving.messages import RunningCallsReport
 from knapweedbridge_daemon.serving.hub import Hub
 
@@ -20,11 +20,11 @@
         What is known of the service's engines; log and measures.
     endpoint : Endpoint
         The engine. What its owner before published is where its speed begins.
-    keeper : EngineKeeper
+    keeper : EngineController
         Holds the speed for those that tell of it.
     """
 
-    def __init__(self, hub: Hub, endpoint: Endpoint, keeper: EngineKeeper) -> None:
+    def __init__(self, hub: Hub, endpoint: Endpoint, keeper: EngineController) -> None:
         self._hub = hub
         self._endpoint = endpoint
         self._speed = keeper.speed
--- a/packages/standins/src/knapweedbridge_standins/serving_histories/orders.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_histories/orders.py
@@ -4,7 +4,7 @@
 
 from knapweedbridge_core.serving import (
     BaseModel,
-    EngineKeeper,
+    EngineController,
     EngineLimits,
     EngineReport,
     ModelRef,
@@ -49,7 +49,7 @@
     luck = random.Random(seed)
     models = {"m": BaseModel("m", 100.0, 2.9)}
     limits = EngineLimits(64, 100_000, PLACES, 120.0, 3.0, models)
-    served, keeper = ObeyingEngine(PLACES), EngineKeeper(limits)
+    served, keeper = ObeyingEngine(PLACES), EngineController(limits)
     now_s = 100.0
     reports = [served.report()]
     for _ in range(orders):
@@ -76,7 +76,7 @@
 def _send(
     order: Order,
     served: ObeyingEngine,
-    keeper: EngineKeeper,
+    keeper: EngineController,
     luck: random.Random,
     now_s: float,
 ) -> None:
--- a/packages/standins/src/knapweedbridge_standins/serving_load/owner.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_load/owner.py
@@ -6,7 +6,7 @@
 
 from knapweedbridge_core.serving import (
     EndpointStart,
-    EngineKeeper,
+    EngineController,
     EngineLimits,
     EngineTeller,
     ModelRef,
@@ -34,7 +34,7 @@
         self.daemon = daemon
         site = pool.site
         limits = EngineLimits(site.slots, 10**6, site.places, 1e5, 10.0)
-        self.keeper = EngineKeeper(limits, times=pool.daemons[daemon].load_times)
+        self.keeper = EngineController(limits, times=pool.daemons[daemon].load_times)
         self.keeper.reported(pool.engines[name].report(), pool.clock.now_s)
         self._teller = EngineTeller(EndpointStart(name, 0), 1, self.keeper)
         self._ordering = False
