--- a/features/prompt_parts/steps/ledger_steps.py
+++ b/features/prompt_parts/steps/ledger_steps.py
@@ -6,7 +6,7 @@
 from knapweedbridge_core.serving import (
     CrashLedger,
     EndpointStart,
-    LossFound,
+    LossEvidence,
     LostCall,
     PartLedger,
     fingerprint,
@@ -256,7 +256,7 @@
     ]
 
     async def tell():
-        found = LossFound(anyio.current_time(), [], calls)
+        found = LossEvidence(anyio.current_time(), [], calls)
         await BlameNotifier(hub, cluster.send).notify_losses(
             {"e1 0": found}, "unlisted"
         )
--- a/packages/core/src/knapweedbridge_core/serving/__init__.py
+++ b/packages/core/src/knapweedbridge_core/serving/__init__.py
@@ -39,7 +39,7 @@
     Service,
     WeightedService,
 )
-from knapweedbridge_core.serving.endings import LossFound, loss_id
+from knapweedbridge_core.serving.endings import LossEvidence, loss_id
 from knapweedbridge_core.serving.endpoint import Endpoint
 from knapweedbridge_core.serving.endpoint_paths import EndpointPaths
 from knapweedbridge_core.serving.endpoint_records import EndpointRecord, EndpointStart
@@ -170,7 +170,7 @@
     "LeaseClock",
     "LoadOn",
     "LoadTimes",
-    "LossFound",
+    "LossEvidence",
     "LostCall",
     "MemoryBudget",
     "ModelRef",
--- a/packages/core/src/knapweedbridge_core/serving/crashes.py
+++ b/packages/core/src/knapweedbridge_core/serving/crashes.py
@@ -24,7 +24,7 @@
     JUDGED_S,
     PROOF_S,
     Ending,
-    LossFound,
+    LossEvidence,
     loss_id,
 )
 from knapweedbridge_core.serving.endpoint_records import EndpointStart
@@ -77,7 +77,7 @@
         sent_s: float = -math.inf,
         is_closed: bool = True,
         is_judged: bool = True,
-    ) -> LossFound | None:
+    ) -> LossEvidence | None:
         """Record that a call ended at an endpoint without a whole answer.
 
         It broke off, or nobody waits for it any more: the endpoint may be silent.
@@ -89,7 +89,7 @@
 
         Returns
         -------
-        found : LossFound or None
+        found : LossEvidence or None
             What is held for the endpoint's loss, where that was known before.
         """
         ending = Ending(mark, start, now_s, parts, sent_s, is_closed, is_judged)
@@ -101,12 +101,12 @@
         if not lost_s:
             self._endings.append(ending)
             return None
-        found = LossFound(min(lost_s))
+        found = LossEvidence(min(lost_s))
         if sent_s < found.at_s:
             self._hold(found, ending, now_s)
         return found
 
-    def _hold(self, found: LossFound, ending: Ending, now_s: float) -> None:
+    def _hold(self, found: LossEvidence, ending: Ending, now_s: float) -> None:
         """Hold a loss against a call, and against the parts of its prompt."""
         if ending.fingerprint in found.marks:
             return
@@ -166,7 +166,7 @@
                 each.is_judged = True
                 each.is_closed = False
 
-    def lost(self, start: EndpointStart, now_s: float) -> dict[str, LossFound]:
+    def lost(self, start: EndpointStart, now_s: float) -> dict[str, LossEvidence]:
         """Record that an endpoint is lost; return what is held for it.
 
         Parameters
@@ -176,7 +176,7 @@
 
         Returns
         -------
-        dict of str to LossFound
+        dict of str to LossEvidence
             By loss.
         """
         of_start = [each for each in self._endings if each.start.may_be(start)]
@@ -186,11 +186,11 @@
         self._lost = {each: at_s for each, at_s in known if now_s - at_s <= PROOF_S}
         self._lost.setdefault(start, first_s)
         self.record_loss_time(start.endpoint, first_s)
-        found: dict[str, LossFound] = {}
+        found: dict[str, LossEvidence] = {}
         for each in recent:
             # What was sent when others had broken off already came to a lost endpoint.
             if each.sent_s < first_s:
-                loss = found.setdefault(loss_id(each.start), LossFound(first_s))
+                loss = found.setdefault(loss_id(each.start), LossEvidence(first_s))
                 self._hold(loss, each, now_s)
         kept = (each for each in self._endings if not each.start.may_be(start))
         self._endings = deque(kept, maxlen=ENDINGS_KEPT)
--- a/packages/core/src/knapweedbridge_core/serving/endings.py
+++ b/packages/core/src/knapweedbridge_core/serving/endings.py
@@ -49,7 +49,7 @@
 
 
 @dataclass(slots=True)
-class LossFound:
+class LossEvidence:
     """An endpoint's loss, and what is held for it.
 
     Parameters
--- a/packages/daemon/src/knapweedbridge_daemon/serving/blame_notifier.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/blame_notifier.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable, Mapping, Sequence
 
 from knapweedbridge_core.serving import (
-    LossFound,
+    LossEvidence,
     LostCall,
     refusal_key,
     refusal_publishers,
@@ -50,7 +50,9 @@
         """Return the hosts that publish a refusal, in the order in which they do."""
         return refusal_publishers(mark, self._hub.cluster.keepers)
 
-    async def notify_losses(self, found: Mapping[str, LossFound], cause: str) -> None:
+    async def notify_losses(
+        self, found: Mapping[str, LossEvidence], cause: str
+    ) -> None:
         """Notify other hosts of what endpoints were lost with, and log it."""
         for loss, held in found.items():
             self._hub.measures.count("calls_blamed", value=len(held.marks))
@@ -66,7 +68,7 @@
                 await self._send(daemon, CallsBlamed(loss, of_daemon))
             await self._parts_blamed(loss, held)
 
-    async def _parts_blamed(self, loss: str, held: LossFound) -> None:
+    async def _parts_blamed(self, loss: str, held: LossEvidence) -> None:
         age_s = loop_time_s() - held.at_s
         parts = {part for call in held.calls for part in call.parts}
         for daemon, of_daemon in self._hearers_of_parts(parts).items():
--- a/packages/daemon/src/knapweedbridge_daemon/serving/crash_watch.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/crash_watch.py
@@ -8,7 +8,7 @@
 from knapweedbridge_core.serving import (
     Endpoint,
     EndpointStart,
-    LossFound,
+    LossEvidence,
     loss_id,
     request_digest,
 )
@@ -88,7 +88,7 @@
         self._notifier = BlameNotifier(hub, send)
         hub.crashes.parts.turn_of = self._turn_of
         self.not_refused: set[str] = set()
-        self._found: list[tuple[str, LossFound]] = []
+        self._found: list[tuple[str, LossEvidence]] = []
         self._cleared: list[str] = []
         self._held: tuple[set[str], set[str]] = (set(), set())
         self._accused_s: dict[str, float] = {}
@@ -273,7 +273,7 @@
         if not found:
             self._hub.log.info("endpoint.lost", endpoint=endpoint, cause=cause)
 
-    async def _notify(self, found: dict[str, LossFound], cause: str) -> None:
+    async def _notify(self, found: dict[str, LossEvidence], cause: str) -> None:
         now_s = loop_time_s()
         accused = self._accused_s.items()
         self._accused_s = {
