--- a/features/platform/standins.py
+++ b/features/platform/standins.py
@@ -9,7 +9,7 @@
 
 import anyio
 
-from knapweedbridge_core.serving import FaceLimits
+from knapweedbridge_core.serving import RequestLimits
 from knapweedbridge_daemon.serving.http_server import CallersFace
 
 JSON = [(b"Content-Type", b"application/json")]
@@ -28,7 +28,7 @@
 
     async def run(self, *, task_status=anyio.TASK_STATUS_IGNORED):
         face = CallersFace(
-            self.handle, lambda: FaceLimits(), self.faults.append, self.faults.append
+            self.handle, lambda: RequestLimits(), self.faults.append, self.faults.append
         )
         listener = await anyio.create_tcp_listener(
             local_host="127.0.0.1", local_port=self.port
--- a/features/wire/steps/wire_play.py
+++ b/features/wire/steps/wire_play.py
@@ -7,7 +7,7 @@
 import anyio
 from h11_reading import BODY_BYTES, HEAD_BYTES
 
-from knapweedbridge_core.serving import FaceLimits
+from knapweedbridge_core.serving import RequestLimits
 from knapweedbridge_daemon.serving.http_server import CallersFace
 
 SEED = 3
@@ -16,7 +16,7 @@
 QUIET_S = 0.4
 SETTLE_S = 0.05
 PIECE_GAP_S = 0.002
-LIMITS = FaceLimits(HEAD_BYTES, BODY_BYTES, QUIET_S, QUIET_S)
+LIMITS = RequestLimits(HEAD_BYTES, BODY_BYTES, QUIET_S, QUIET_S)
 
 
 def run(work, *values):
--- a/packages/core/src/knapweedbridge_core/serving/deployment.py
+++ b/packages/core/src/knapweedbridge_core/serving/deployment.py
@@ -161,7 +161,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class FaceLimits:
+class RequestLimits:
     """What a caller may send, and how long it may take."""
 
     header_bytes: int = 16384
@@ -182,7 +182,7 @@
         All routes.
     services : dict of str to Service
         All services by name.
-    limits : FaceLimits
+    limits : RequestLimits
         Bounds on what callers send.
     accounts : Accounts or None
         Client accounts; None where calls need no keys.
@@ -191,7 +191,7 @@
     version: int
     routes: tuple[Route, ...]
     services: dict[str, Service]
-    limits: FaceLimits = FaceLimits()
+    limits: RequestLimits = RequestLimits()
     accounts: Accounts | None = None
     _by_host: dict[str, list[Route]] = field(init=False, repr=False)
 
--- a/packages/daemon/src/knapweedbridge_daemon/serving/callers_app.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/callers_app.py
@@ -6,7 +6,7 @@
 
 import anyio
 
-from knapweedbridge_core.serving import FaceLimits, Route, fingerprint, shared_parts
+from knapweedbridge_core.serving import RequestLimits, Route, fingerprint, shared_parts
 from knapweedbridge_daemon.serving.attempt_records import MARK_DIGITS
 from knapweedbridge_daemon.serving.call import Call
 from knapweedbridge_daemon.serving.call_terms import CallTerms, TermsFinder
@@ -59,10 +59,10 @@
         self._is_ending = False
         self.running = 0
 
-    def limits(self) -> FaceLimits:
+    def limits(self) -> RequestLimits:
         """Return the bounds on what callers send."""
         deployment = self._hub.cluster.deployment
-        return deployment.limits if deployment else FaceLimits()
+        return deployment.limits if deployment else RequestLimits()
 
     def count_bad(self, error: BadRequestError) -> None:
         """Count a request that could not be read."""
--- a/packages/daemon/src/knapweedbridge_daemon/serving/http_server.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/http_server.py
@@ -13,7 +13,7 @@
 from anyio.abc import SocketStream
 from anyio.lowlevel import checkpoint
 
-from knapweedbridge_core.serving import FaceLimits
+from knapweedbridge_core.serving import RequestLimits
 from knapweedbridge_daemon.serving.byte_stream import ByteStream
 from knapweedbridge_daemon.serving.clock import loop_time_s
 from knapweedbridge_daemon.serving.http_heads import Framing
@@ -244,7 +244,7 @@
     def __init__(
         self,
         handler: Handler,
-        limits: Callable[[], FaceLimits],
+        limits: Callable[[], RequestLimits],
         count_bad: Callable[[BadRequestError], None],
         count_fault: Callable[[Exception], None],
     ) -> None:
--- a/packages/daemon/src/knapweedbridge_daemon/serving/request_reading.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/request_reading.py
@@ -3,7 +3,7 @@
 from contextlib import suppress
 from dataclasses import dataclass
 
-from knapweedbridge_core.serving import FaceLimits
+from knapweedbridge_core.serving import RequestLimits
 from knapweedbridge_daemon.serving.byte_stream import ByteStream
 from knapweedbridge_daemon.serving.clock import loop_time_s
 from knapweedbridge_daemon.serving.http_bodies import BodyError
@@ -74,7 +74,7 @@
         """Whether bytes of a next request came with the last one."""
         return bool(self._unread)
 
-    async def await_first(self, limits: FaceLimits) -> bool:
+    async def await_first(self, limits: RequestLimits) -> bool:
         """Wait for a request's first bytes; False where none come."""
         try:
             self._unread = await self._receive(limits.idle_timeout_s)
@@ -82,7 +82,9 @@
             return False
         return bool(self._unread)
 
-    async def read(self, limits: FaceLimits) -> tuple[ReceivedRequest, Framing] | None:
+    async def read(
+        self, limits: RequestLimits
+    ) -> tuple[ReceivedRequest, Framing] | None:
         """Read a request whose first bytes came; None where the caller left.
 
         Raises
@@ -110,7 +112,7 @@
         except ConnectionError:
             return b""
 
-    async def _head_block(self, limits: FaceLimits) -> bytes | None:
+    async def _head_block(self, limits: RequestLimits) -> bytes | None:
         due_s: float | None = None
         searched = 0
         while True:
@@ -138,7 +140,7 @@
         block, self._unread = self._unread[:end], self._unread[end:]
         return block
 
-    async def _read_body(self, framing: Framing, limits: FaceLimits) -> bytes | None:
+    async def _read_body(self, framing: Framing, limits: RequestLimits) -> bytes | None:
         if (framing.length or 0) > limits.body_bytes:
             raise BadRequestError(413, "the body is too large")
         if framing.expects_continue:
--- a/packages/daemon/src/knapweedbridge_daemon/serving/side_faces.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/side_faces.py
@@ -2,7 +2,7 @@
 
 import anyio
 
-from knapweedbridge_core.serving import FaceLimits
+from knapweedbridge_core.serving import RequestLimits
 from knapweedbridge_daemon.serving.http_server import ReceivedRequest, Responder
 from knapweedbridge_daemon.serving.hub import Hub
 
@@ -20,9 +20,9 @@
         self._hub = hub
 
     @staticmethod
-    def limits() -> FaceLimits:
+    def limits() -> RequestLimits:
         """Return the bounds on what is asked here."""
-        return FaceLimits()
+        return RequestLimits()
 
     async def ready(self, request: ReceivedRequest, responder: Responder) -> None:
         """Tell whether callers may be sent here."""
