--- a/packages/core/src/knapweedbridge_core/grant_side.py
+++ b/packages/core/src/knapweedbridge_core/grant_side.py
@@ -11,7 +11,7 @@
 from knapweedbridge_core.leases import LIVENESS_PREFIX
 from knapweedbridge_core.outcomes import Reason
 from knapweedbridge_core.tenure import Tenure
-from knapweedbridge_core.times import RECONCILE_S, RETRY_S, SILENT_S
+from knapweedbridge_core.times import RECONCILE_INTERVAL_S, RETRY_S, SILENT_S
 
 LIFE_TOKEN = "holder-life"
 
@@ -130,12 +130,12 @@
     def _ask_due(self, tenure: Tenure, linked: set[str]) -> set[str]:
         """Ask the holders that are due; return those that do not answer."""
         now_s = self._context.now_s
-        old = tenure.ledger.holders(now_s - RECONCILE_S)
+        old = tenure.ledger.holders(now_s - RECONCILE_INTERVAL_S)
         silent: set[str] = set()
         for host in sorted(old | tenure.takeover.unheard):
             key = _Key(tenure.endpoint, tenure.number, host)
             ask = self._asks.setdefault(key, _Ask(now_s))
-            if ask.answered and now_s - ask.sent_s >= RECONCILE_S:
+            if ask.answered and now_s - ask.sent_s >= RECONCILE_INTERVAL_S:
                 ask = self._asks[key] = _Ask(now_s)
             if ask.answered:
                 continue
--- a/packages/core/src/knapweedbridge_core/times.py
+++ b/packages/core/src/knapweedbridge_core/times.py
@@ -31,7 +31,7 @@
 GRANT_USE_S = 1.0
 """Longest from the asking for a grant to the start of its request."""
 
-RECONCILE_S = 10.0
+RECONCILE_INTERVAL_S = 10.0
 """Pause between an owner's questions to a holder about grants it keeps."""
 
 SILENT_S = 3.0
