--- a/features/speeds/steps/learning_steps.py
+++ b/features/speeds/steps/learning_steps.py
@@ -10,7 +10,7 @@
     EngineController,
     EngineLimits,
     EngineSpeed,
-    EngineTeller,
+    EngineUpdates,
     Fleet,
     LearnedRates,
     SpeedReports,
@@ -126,7 +126,7 @@
 
 @then("what it tells of the engine names a speed from {least:g} to {most:g}")
 def told(context, least, most):
-    teller = EngineTeller(EndpointStart("e1", 0), 1, context.keeper)
+    teller = EngineUpdates(EndpointStart("e1", 0), 1, context.keeper)
     told = teller.tell(["h1"], False, NOW_S)
     teller.calls_changed()
     told += teller.tell(["h1"], False, NOW_S + 1)
--- a/packages/core/src/knapweedbridge_core/serving/engine_teller.py
+++ b/packages/core/src/knapweedbridge_core/serving/engine_teller.py
@@ -33,7 +33,7 @@
     message: EngineTold | EngineChanged
 
 
-class EngineTeller:
+class EngineUpdates:
     """What one owner has told of its engine, and to whom.
 
     Parameters
--- a/packages/daemon/src/knapweedbridge_daemon/serving/engine_owning.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/engine_owning.py
@@ -10,7 +10,7 @@
     EngineController,
     EngineLimits,
     EngineReport,
-    EngineTeller,
+    EngineUpdates,
     ModelRef,
     Order,
     OrderAnswer,
@@ -112,7 +112,7 @@
             hub.load_times,
         )
         self._speeds = SpeedKeeping(hub, endpoint, self.keeper)
-        self._teller = EngineTeller(endpoint.start, record.number, self.keeper)
+        self._teller = EngineUpdates(endpoint.start, record.number, self.keeper)
         long_prompts, speed = self.keeper.long_prompts, self.keeper.speed
         self.turns = TurnGiver(hub, endpoint, record.number, long_prompts, send, speed)
         self.scope = anyio.CancelScope()
--- a/packages/standins/src/knapweedbridge_standins/serving_load/owner.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_load/owner.py
@@ -8,7 +8,7 @@
     EndpointStart,
     EngineController,
     EngineLimits,
-    EngineTeller,
+    EngineUpdates,
     ModelRef,
     Order,
     OrderAnswer,
@@ -36,7 +36,7 @@
         limits = EngineLimits(site.slots, 10**6, site.places, 1e5, 10.0)
         self.keeper = EngineController(limits, times=pool.daemons[daemon].load_times)
         self.keeper.reported(pool.engines[name].report(), pool.clock.now_s)
-        self._teller = EngineTeller(EndpointStart(name, 0), 1, self.keeper)
+        self._teller = EngineUpdates(EndpointStart(name, 0), 1, self.keeper)
         self._ordering = False
         self._woken = False
         self._reported_s = float("-inf")
