--- a/packages/core/src/knapweedbridge_core/serving/crashes.py
+++ b/packages/core/src/knapweedbridge_core/serving/crashes.py
@@ -23,7 +23,7 @@
 from knapweedbridge_core.serving.endings import (
     JUDGED_S,
     PROOF_S,
-    Ending,
+    IncompleteCall,
     LossEvidence,
     loss_id,
 )
@@ -64,7 +64,7 @@
         self._published: dict[str, float] = {}
         self._held: dict[str, float] = {}
         self._senders: dict[str, dict[str, set[str]]] = {}
-        self._endings: deque[Ending] = deque(maxlen=ENDINGS_KEPT)
+        self._endings: deque[IncompleteCall] = deque(maxlen=ENDINGS_KEPT)
         self._lost: dict[EndpointStart, float] = {}
         self._moments: OrderedDict[str, float] = OrderedDict()
 
@@ -85,14 +85,14 @@
         Parameters
         ----------
         parts, sent_s, is_closed, is_judged
-            As in `Ending`.
+            As in `IncompleteCall`.
 
         Returns
         -------
         found : LossEvidence or None
             What is held for the endpoint's loss, where that was known before.
         """
-        ending = Ending(mark, start, now_s, parts, sent_s, is_closed, is_judged)
+        ending = IncompleteCall(mark, start, now_s, parts, sent_s, is_closed, is_judged)
         lost_s = [
             at_s
             for each, at_s in self._lost.items()
@@ -106,7 +106,7 @@
             self._hold(found, ending, now_s)
         return found
 
-    def _hold(self, found: LossEvidence, ending: Ending, now_s: float) -> None:
+    def _hold(self, found: LossEvidence, ending: IncompleteCall, now_s: float) -> None:
         """Hold a loss against a call, and against the parts of its prompt."""
         if ending.fingerprint in found.marks:
             return
@@ -197,7 +197,7 @@
         return found
 
     @staticmethod
-    def _broke_s(endings: Sequence[Ending], now_s: float) -> float:
+    def _broke_s(endings: Sequence[IncompleteCall], now_s: float) -> float:
         """Return when the connections to an endpoint that is lost broke.
 
         Those that broke long before the last of them, and callers who left, show
--- a/packages/core/src/knapweedbridge_core/serving/endings.py
+++ b/packages/core/src/knapweedbridge_core/serving/endings.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(slots=True)
-class Ending:
+class IncompleteCall:
     """A call that ended at a start of an endpoint without a whole answer.
 
     Parameters
