--- a/features/serving/steps/store_age_steps.py
+++ b/features/serving/steps/store_age_steps.py
@@ -1,6 +1,6 @@
 from behave import given, then, when
 
-from knapweedbridge_core.serving import HearerMarks, StoreAge
+from knapweedbridge_core.serving import StoreAge, SubscriberMarks
 
 
 def moments_of(text):
@@ -11,7 +11,7 @@
     "a relay whose hearer h marks 3.0 and 3.4 of its clock, which come at 7.0 and 7.4"
 )
 def marked_twice(context):
-    context.marks = HearerMarks()
+    context.marks = SubscriberMarks()
     context.marks.marked("h", 3.0, 7.0)
     context.marks.marked("h", 3.4, 7.4)
 
--- a/packages/core/src/knapweedbridge_core/serving/__init__.py
+++ b/packages/core/src/knapweedbridge_core/serving/__init__.py
@@ -120,7 +120,7 @@
 from knapweedbridge_core.serving.retry_budget import RetryBudget
 from knapweedbridge_core.serving.software_versions import SoftwareVersions
 from knapweedbridge_core.serving.speed_reports import SpeedReports
-from knapweedbridge_core.serving.store_age import HearerMarks, StoreAge
+from knapweedbridge_core.serving.store_age import StoreAge, SubscriberMarks
 from knapweedbridge_core.serving.store_eras import era_of, revision_of, stamp
 from knapweedbridge_core.serving.store_outage import StoreOutage
 from knapweedbridge_core.serving.stream_origins import (
@@ -163,7 +163,7 @@
     "Fleet",
     "Forwarders",
     "QuotaGrant",
-    "HearerMarks",
+    "SubscriberMarks",
     "HeldKind",
     "LateAdmission",
     "LearnedRates",
--- a/packages/core/src/knapweedbridge_core/serving/store_age.py
+++ b/packages/core/src/knapweedbridge_core/serving/store_age.py
@@ -86,7 +86,7 @@
         return heard if is_late else own
 
 
-class HearerMarks:
+class SubscriberMarks:
     """The marks that a relay's hearers set, until the store's answers cover them.
 
     A hearer's marks are of its own clock, and are only given back to it. When they came
--- a/packages/daemon/src/knapweedbridge_daemon/serving/relaying.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/relaying.py
@@ -16,7 +16,7 @@
 
 import anyio
 
-from knapweedbridge_core.serving import Endpoint, HearerMarks, hearers
+from knapweedbridge_core.serving import Endpoint, SubscriberMarks, hearers
 from knapweedbridge_core.serving.messages import (
     EngineChanged,
     EngineTold,
@@ -68,7 +68,7 @@
         self._told_s = float("-inf")
         self._told: set[str] = set()
         self._adopted_s: dict[str, float] = {}
-        self._marks = HearerMarks()
+        self._marks = SubscriberMarks()
         self._log = ToldItems()
         self._missed_after: dict[str, int] = {}
         self._own_hearers: list[str] = []
