--- a/packages/core/src/knapweedbridge_core/ledger.py
+++ b/packages/core/src/knapweedbridge_core/ledger.py
@@ -5,7 +5,7 @@
 from math import inf
 
 from knapweedbridge_core.names import AdapterVersion
-from knapweedbridge_core.times import CLOCK_MARGIN_S, TRANSIT_S
+from knapweedbridge_core.times import CLOCK_MARGIN_S, ORDER_TRANSIT_S
 
 FORGET_S = 60.0
 
@@ -107,7 +107,7 @@
             if slot.orphaned_s > -inf:
                 wanted_s = max(wanted_s, slot.orphaned_s)
             if slot.state in UNKNOWN_STATES:
-                wanted_s = max(wanted_s, slot.since_s + TRANSIT_S)
+                wanted_s = max(wanted_s, slot.since_s + ORDER_TRANSIT_S)
         return wanted_s
 
     def reported(
@@ -155,7 +155,7 @@
         taken_s: float,
         now_s: float,
     ) -> None:
-        landed = taken_s >= slot.since_s + TRANSIT_S
+        landed = taken_s >= slot.since_s + ORDER_TRANSIT_S
         if slot.state is SlotState.LOADED and not present:
             self._remove(model, now_s)
         elif slot.state is SlotState.UNKNOWN_LOAD and present:
--- a/packages/core/src/knapweedbridge_core/takeover.py
+++ b/packages/core/src/knapweedbridge_core/takeover.py
@@ -7,8 +7,8 @@
 from knapweedbridge_core.times import (
     CLOCK_MARGIN_S,
     CONTACT_S,
+    ORDER_TRANSIT_S,
     QUARANTINE_S,
-    TRANSIT_S,
 )
 
 
@@ -30,7 +30,7 @@
         return 0.0
     if checks_fencing:
         return CONTACT_S + CLOCK_MARGIN_S
-    return max(CONTACT_S, TRANSIT_S) + CLOCK_MARGIN_S
+    return max(CONTACT_S, ORDER_TRANSIT_S) + CLOCK_MARGIN_S
 
 
 @dataclass(slots=True)
--- a/packages/core/src/knapweedbridge_core/times.py
+++ b/packages/core/src/knapweedbridge_core/times.py
@@ -19,7 +19,7 @@
 CLOCK_MARGIN_S = 2.0
 """Most that two clocks drift apart over a lease, a tenth of it."""
 
-TRANSIT_S = 5.0
+ORDER_TRANSIT_S = 5.0
 """Longest way of an order from its sending to its effect."""
 
 CONTACT_S = 6.0
