--- a/packages/core/src/knapweedbridge_core/serving/__init__.py
+++ b/packages/core/src/knapweedbridge_core/serving/__init__.py
@@ -52,7 +52,7 @@
 )
 from knapweedbridge_core.serving.engine_rates import EngineRates, LearnedRates
 from knapweedbridge_core.serving.engine_speed import EngineSpeed
-from knapweedbridge_core.serving.engine_teller import EngineUpdates, Telling
+from knapweedbridge_core.serving.engine_teller import AddressedUpdate, EngineUpdates
 from knapweedbridge_core.serving.fleet import Fleet
 from knapweedbridge_core.serving.forwarders import Forwarders
 from knapweedbridge_core.serving.late_admission import LateAdmission
@@ -212,7 +212,7 @@
     "StoreAge",
     "StoreOutage",
     "StreamOrigin",
-    "Telling",
+    "AddressedUpdate",
     "TooLate",
     "UsualDeadlines",
     "Verdict",
--- a/packages/core/src/knapweedbridge_core/serving/engine_teller.py
+++ b/packages/core/src/knapweedbridge_core/serving/engine_teller.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Telling:
+class AddressedUpdate:
     """What one daemon is told."""
 
     daemon: str
@@ -98,7 +98,9 @@
             return TELL_FAR_S
         return 0.0 if self._held_changed else TELL_LOAD_S
 
-    def tell(self, hearers: Iterable[str], small: bool, now_s: float) -> list[Telling]:
+    def tell(
+        self, hearers: Iterable[str], small: bool, now_s: float
+    ) -> list[AddressedUpdate]:
         """Return what is to be told now.
 
         Parameters
@@ -117,7 +119,7 @@
             return self._tell_changes(set(hearers), now_s)
         return self.tell_asked(now_s)
 
-    def _tell_changes(self, hearers: set[str], now_s: float) -> list[Telling]:
+    def _tell_changes(self, hearers: set[str], now_s: float) -> list[AddressedUpdate]:
         self._told += 1
         self._told_s = now_s
         self._held_changed = self._calls_changed = False
@@ -131,7 +133,7 @@
         if now_s - self._told_all_s >= TELL_ALL_S:
             self._told_all_s = now_s
             new |= hearers
-        tellings: list[Telling] = []
+        tellings: list[AddressedUpdate] = []
         if hearers - new:
             tellings = self._each(hearers - new, self._changes(now_s))
         self._shown = self._rows()
@@ -140,18 +142,18 @@
         self._lost.clear()
         return tellings
 
-    def tell_asked(self, now_s: float) -> list[Telling]:
+    def tell_asked(self, now_s: float) -> list[AddressedUpdate]:
         """Tell all to those that missed a telling or are new, and nothing to others."""
         tellings = self._tell_all(self._lost, now_s)
         self._lost.clear()
         return tellings
 
-    def _tell_all(self, daemons: set[str], now_s: float) -> list[Telling]:
+    def _tell_all(self, daemons: set[str], now_s: float) -> list[AddressedUpdate]:
         return self._each(daemons, self._all(now_s)) if daemons else []
 
     def _each(
         self, daemons: set[str], message: EngineTold | EngineChanged
-    ) -> list[Telling]:
+    ) -> list[AddressedUpdate]:
         """Tell each daemon the calls of the others.
 
         To send all of them the calls by daemon made most of a telling's bytes.
@@ -165,7 +167,7 @@
         tellings = []
         for daemon in daemons:
             if daemon in self._relays:
-                tellings.append(Telling(daemon, of_all))
+                tellings.append(AddressedUpdate(daemon, of_all))
                 continue
             own_calls, own_tokens = load.get(daemon, (0, 0))
             told = replace(
@@ -173,7 +175,7 @@
                 others_calls=calls - own_calls,
                 others_unread_tokens=tokens - own_tokens,
             )
-            tellings.append(Telling(daemon, told))
+            tellings.append(AddressedUpdate(daemon, told))
         return tellings
 
     def _rows(self) -> dict[ModelRef, tuple[int, float]]:
