--- a/features/admission/steps/judgement_steps.py
+++ b/features/admission/steps/judgement_steps.py
@@ -139,7 +139,7 @@
         may_go = [
             pair
             for pair, case in cases.items()
-            if context.policy.engines_for(case, one_place, NOW_S)
+            if context.policy.eligible_engines(case, one_place, NOW_S)
         ]
         assert len(may_go) == 1, may_go
         context.order += may_go
@@ -207,7 +207,7 @@
     rounds, case = 200, make_case(3)
     began_s = time.process_time()
     for _ in range(rounds):
-        policy.engines_for(case, engines, NOW_S)
+        policy.eligible_engines(case, engines, NOW_S)
         policy.patience_s(case, False, NOW_S)
         policy.judge(case, NoEngine(), NOW_S)
     took_ms = (time.process_time() - began_s) / rounds * 1000
@@ -231,7 +231,7 @@
 def overdue_of_adapter(context, held, idle, free):
     engines = [make_named(name, held, idle, free) for name in "abc"]
     case = make_case(model=ADAPTER)
-    context.found = context.policy.engines_for(case, engines, NOW_S)
+    context.found = context.policy.eligible_engines(case, engines, NOW_S)
 
 
 @then('it may go to "{names}"')
--- a/packages/core/src/knapweedbridge_core/serving/overload.py
+++ b/packages/core/src/knapweedbridge_core/serving/overload.py
@@ -124,7 +124,7 @@
         """Return the longest wait for a first event that a request is placed with."""
 
     @abstractmethod
-    def engines_for(
+    def eligible_engines(
         self, call: PendingRequest, engines: list[Endpoint], now_s: float
     ) -> list[Endpoint]:
         """Return the engines among which a request is placed."""
@@ -166,10 +166,10 @@
         """See `OverloadPolicy.patience_s`."""
         return call.patience_s(now_s - call.received_s, accepted)
 
-    def engines_for(
+    def eligible_engines(
         self, call: PendingRequest, engines: list[Endpoint], now_s: float
     ) -> list[Endpoint]:
-        """See `OverloadPolicy.engines_for`."""
+        """See `OverloadPolicy.eligible_engines`."""
         return engines
 
     def judge(self, call: PendingRequest, choice: Choice, now_s: float) -> Verdict:
@@ -226,10 +226,10 @@
             return math.inf
         return call.patience_s(call.waited_s(now_s), accepted)
 
-    def engines_for(
+    def eligible_engines(
         self, call: PendingRequest, engines: list[Endpoint], now_s: float
     ) -> list[Endpoint]:
-        """See `OverloadPolicy.engines_for`."""
+        """See `OverloadPolicy.eligible_engines`."""
         if not self.is_overdue(call, now_s) or now_s >= call.wait_ends_s:
             return engines
         spare = [each for each in _without_moves(call, engines) if has_spare(each)]
--- a/packages/daemon/src/knapweedbridge_daemon/serving/placing.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/placing.py
@@ -233,7 +233,7 @@
         cluster.fleet.guess_load(
             engines, self._hub.daemons, cluster.is_small_pool, now_s
         )
-        engines = policy.engines_for(case, engines, now_s)
+        engines = policy.eligible_engines(case, engines, now_s)
         objective_s = 0.0 if call.has_begun else call.route.objective_s
         is_new = not call.placed and not policy.is_overdue(case, now_s)
         call.placed = True
--- a/packages/standins/src/knapweedbridge_standins/serving_load/overload_pool.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_load/overload_pool.py
@@ -248,7 +248,7 @@
         )
         engines = self.fleet.reachable("llm", now_s)
         self.fleet.guess_load(engines, len(self.pool.daemons), self.pool.small, now_s)
-        engines = self.policy.engines_for(case, engines, now_s)
+        engines = self.policy.eligible_engines(case, engines, now_s)
         is_new, call.placed = not call.placed and not overdue, True
         return self._admission.choose(ask, engines, call.mix.objective_s, is_new, now_s)
 
