--- a/features/serving/steps/belief_steps.py
+++ b/features/serving/steps/belief_steps.py
@@ -11,11 +11,11 @@
     StoreOutage,
     claim_due_s,
     claimants,
-    hearers,
     is_small,
     may_claim,
     ranked,
     relays,
+    subscribers,
 )
 from knapweedbridge_core.serving.cluster_state import (
     DaemonNamed,
@@ -194,7 +194,7 @@
     told = [
         daemon
         for relay in names
-        for daemon in hearers(context.daemons, "d1", relay, names)
+        for daemon in subscribers(context.daemons, "d1", relay, names)
     ]
     assert len(told) == len(set(told)) == count, told
     assert not set(told) & set(names), told
--- a/features/serving/steps/relay_steps.py
+++ b/features/serving/steps/relay_steps.py
@@ -11,7 +11,7 @@
     Fleet,
     StoreAge,
     StoreOutage,
-    hearers,
+    subscribers,
 )
 from knapweedbridge_core.serving.cluster_state import DaemonNamed, EndpointNamed
 from knapweedbridge_core.serving.endpoint import ReportedLoad
@@ -77,7 +77,7 @@
 
 
 def own_hearers(context):
-    return hearers(
+    return subscribers(
         context.cluster.daemons.values(), "d1", context.relay, context.relays
     )
 
@@ -163,7 +163,7 @@
 def other_asks(context):
     async def story():
         now_s = await settle(context)
-        others = hearers(
+        others = subscribers(
             context.cluster.daemons.values(), "d1", context.relays[1], context.relays
         )
         await context.relaying.asked(others[0], RelayRequest())
--- a/packages/core/src/knapweedbridge_core/serving/__init__.py
+++ b/packages/core/src/knapweedbridge_core/serving/__init__.py
@@ -99,7 +99,7 @@
     is_clearly_best,
 )
 from knapweedbridge_core.serving.plain_load import PlainCounter, PlainState
-from knapweedbridge_core.serving.pool import hearers, is_small, ranked, relays
+from knapweedbridge_core.serving.pool import is_small, ranked, relays, subscribers
 from knapweedbridge_core.serving.prompt_pacing import (
     NoPacing,
     PromptPacer,
@@ -232,7 +232,7 @@
     "first_byte_timeout_s",
     "max_first_event_wait_s",
     "has_spare",
-    "hearers",
+    "subscribers",
     "is_small",
     "keepers",
     "loss_id",
--- a/packages/core/src/knapweedbridge_core/serving/engine_teller.py
+++ b/packages/core/src/knapweedbridge_core/serving/engine_teller.py
@@ -99,27 +99,29 @@
         return 0.0 if self._held_changed else TELL_LOAD_S
 
     def tell(
-        self, hearers: Iterable[str], small: bool, now_s: float
+        self, subscribers: Iterable[str], small: bool, now_s: float
     ) -> list[AddressedUpdate]:
         """Return what is to be told now.
 
         Parameters
         ----------
-        hearers : iterable of str
+        subscribers : iterable of str
             Those that hear of every change: all daemons of a small pool, the relays of
             a large one.
         small : bool
             Which of the two they are.
         """
-        self._relays = set() if small else set(hearers)
+        self._relays = set() if small else set(subscribers)
         since_s = now_s - self._told_s
         news_due = self.has_news and since_s >= self._pause_s(small)
         still_due = not small and since_s >= TELL_STILL_S
         if news_due or still_due:
-            return self._tell_changes(set(hearers), now_s)
+            return self._tell_changes(set(subscribers), now_s)
         return self.tell_asked(now_s)
 
-    def _tell_changes(self, hearers: set[str], now_s: float) -> list[AddressedUpdate]:
+    def _tell_changes(
+        self, subscribers: set[str], now_s: float
+    ) -> list[AddressedUpdate]:
         self._told += 1
         self._told_s = now_s
         self._held_changed = self._calls_changed = False
@@ -129,16 +131,16 @@
             for model, daemons in self._wanted_by.items()
             if not self._relays or model in self._keeper.wanted
         }
-        new = (hearers - self._hearers) | self._lost
+        new = (subscribers - self._hearers) | self._lost
         if now_s - self._told_all_s >= TELL_ALL_S:
             self._told_all_s = now_s
-            new |= hearers
+            new |= subscribers
         tellings: list[AddressedUpdate] = []
-        if hearers - new:
-            tellings = self._each(hearers - new, self._changes(now_s))
+        if subscribers - new:
+            tellings = self._each(subscribers - new, self._changes(now_s))
         self._shown = self._rows()
         tellings += self._tell_all(new, now_s)
-        self._hearers = hearers
+        self._hearers = subscribers
         self._lost.clear()
         return tellings
 
--- a/packages/core/src/knapweedbridge_core/serving/pool.py
+++ b/packages/core/src/knapweedbridge_core/serving/pool.py
@@ -75,7 +75,7 @@
     }
 
 
-def hearers(
+def subscribers(
     daemons: Iterable[DaemonRecord], data_centre: str, relay: str, all_relays: list[str]
 ) -> list[str]:
     """Name the daemons of a data centre that hear a relay and not another."""
--- a/packages/core/src/knapweedbridge_core/serving/store_age.py
+++ b/packages/core/src/knapweedbridge_core/serving/store_age.py
@@ -114,8 +114,8 @@
         """Return a hearer's newest mark that is covered, 0.0 where none is."""
         return self._covered_s.get(hearer, 0.0)
 
-    def keep(self, hearers: set[str]) -> None:
+    def keep(self, subscribers: set[str]) -> None:
         """Forget all but these hearers."""
         for marks in (self._waiting, self._covered_s):
-            for hearer in marks.keys() - hearers:
+            for hearer in marks.keys() - subscribers:
                 del marks[hearer]
--- a/packages/daemon/src/knapweedbridge_daemon/serving/blame_notifier.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/blame_notifier.py
@@ -122,8 +122,8 @@
     def _hearers_of_parts(self, parts: Iterable[str]) -> dict[str, set[str]]:
         """Return which other hosts receive what of some parts."""
         by_mark = {refusal_key((part,)): part for part in parts}
-        hearers = self._hearers(by_mark).items()
-        return {name: {by_mark[mark] for mark in marks} for name, marks in hearers}
+        subscribers = self._hearers(by_mark).items()
+        return {name: {by_mark[mark] for mark in marks} for name, marks in subscribers}
 
 
 def lost_calls(message: PartsBlamed) -> list[LostCall]:
--- a/packages/daemon/src/knapweedbridge_daemon/serving/engine_owning.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/engine_owning.py
@@ -366,9 +366,9 @@
     async def _tell(self) -> None:
         askers, self._askers = self._askers, set()
         cluster, now_s = self._hub.cluster, anyio.current_time()
-        hearers = chain.from_iterable(cluster.relays.values())
+        subscribers = chain.from_iterable(cluster.relays.values())
         small = cluster.is_small_pool
-        told_to = list(cluster.daemons if small else hearers)
+        told_to = list(cluster.daemons if small else subscribers)
         for telling in self._teller.tell(told_to, small, now_s):
             askers.discard(telling.daemon)
             await self._send(telling.daemon, telling.message)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/relaying.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/relaying.py
@@ -16,7 +16,7 @@
 
 import anyio
 
-from knapweedbridge_core.serving import Endpoint, SubscriberMarks, hearers
+from knapweedbridge_core.serving import Endpoint, SubscriberMarks, subscribers
 from knapweedbridge_core.serving.messages import (
     EngineChanged,
     EngineTold,
@@ -229,7 +229,7 @@
         if self._hearers_of is not cluster.ranks:
             self._hearers_of = cluster.ranks
             all_relays = cluster.relays.get(identity.data_centre, [])
-            self._own_hearers = hearers(
+            self._own_hearers = subscribers(
                 *(cluster.daemons.values(), identity.data_centre, identity.name),
                 all_relays,
             )
--- a/packages/standins/src/knapweedbridge_standins/serving_load/owner.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_load/owner.py
@@ -139,7 +139,9 @@
             if order is not None:
                 self._ordering = True
                 self._pool.clock.after(WAY_S, lambda: self._order(order))
-        for telling in self._teller.tell(self._pool.hearers, self._pool.small, now_s):
+        for telling in self._teller.tell(
+            self._pool.subscribers, self._pool.small, now_s
+        ):
             self._pool.tell(telling.daemon, self.daemon, telling.message)
         self._wake_later()
 
--- a/packages/standins/src/knapweedbridge_standins/serving_load/pool.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_load/pool.py
@@ -81,7 +81,7 @@
         ]
         self.small = is_small(listed)
         self._relay = ModelledRelay(self)
-        self.hearers = list(self.daemons) if self.small else [RELAY] * relayed
+        self.subscribers = list(self.daemons) if self.small else [RELAY] * relayed
         self.owners = {
             name: ModelledOwner(self, name, claimants(name, self._centre(n), listed)[0])
             for n, name in enumerate(self.engines)
