--- a/packages/core/src/knapweedbridge_core/grant_side.py
+++ b/packages/core/src/knapweedbridge_core/grant_side.py
@@ -11,7 +11,7 @@
 from knapweedbridge_core.leases import LIVENESS_PREFIX
 from knapweedbridge_core.outcomes import Reason
 from knapweedbridge_core.tenure import Tenure
-from knapweedbridge_core.times import RECONCILE_INTERVAL_S, RETRY_S, SILENT_S
+from knapweedbridge_core.times import RECONCILE_INTERVAL_S, RETRY_INTERVAL_S, SILENT_S
 
 LIFE_TOKEN = "holder-life"
 
@@ -141,7 +141,7 @@
                 continue
             if now_s - ask.since_s >= SILENT_S:
                 silent.add(host)
-            if host in linked and now_s - ask.sent_s >= RETRY_S:
+            if host in linked and now_s - ask.sent_s >= RETRY_INTERVAL_S:
                 ask.sent_s = now_s
                 question = messages.HeldGrantsRequest(tenure.endpoint, tenure.number)
                 self._context.send(host, question)
--- a/packages/core/src/knapweedbridge_core/leases.py
+++ b/packages/core/src/knapweedbridge_core/leases.py
@@ -11,7 +11,7 @@
     CLOCK_MARGIN_S,
     LEASE_S,
     RENEW_S,
-    RETRY_S,
+    RETRY_INTERVAL_S,
 )
 
 LIVENESS_PREFIX = "knapweedbridge/life/"
@@ -64,7 +64,7 @@
             return []
         self._in_flight = False
         if not reply.known:
-            self._due_s = now_s + RETRY_S
+            self._due_s = now_s + RETRY_INTERVAL_S
             return []
         if not reply.applied:
             self._valid_until_s = -inf
--- a/packages/core/src/knapweedbridge_core/owner_claims.py
+++ b/packages/core/src/knapweedbridge_core/owner_claims.py
@@ -5,7 +5,7 @@
 
 from knapweedbridge_core.actions import StoreWrite
 from knapweedbridge_core.owner_records import OwnerRecord
-from knapweedbridge_core.times import RETRY_S
+from knapweedbridge_core.times import RETRY_INTERVAL_S
 
 
 class Stage(Enum):
@@ -48,7 +48,7 @@
 
     stage: Stage = Stage.IDLE
     number: int = 0
-    since_s: float = -RETRY_S
+    since_s: float = -RETRY_INTERVAL_S
     epoch: int = 0
     asked_epoch: int = 0
     revision: int = 0
--- a/packages/core/src/knapweedbridge_core/owner_side.py
+++ b/packages/core/src/knapweedbridge_core/owner_side.py
@@ -13,7 +13,11 @@
 from knapweedbridge_core.owners import Change, Claimed, HandedOver, Lost, Owners
 from knapweedbridge_core.takeover import Takeover, wait_s
 from knapweedbridge_core.tenure import Tenure
-from knapweedbridge_core.times import REFRESH_INTERVAL_S, REPORT_MAX_AGE_S, RETRY_S
+from knapweedbridge_core.times import (
+    REFRESH_INTERVAL_S,
+    REPORT_MAX_AGE_S,
+    RETRY_INTERVAL_S,
+)
 
 RUNNING_STEP = 0.25
 
@@ -211,7 +215,7 @@
         wanted_s = tenure.ledger.wanted_report_s
         in_doubt = tenure.reported_s <= wanted_s < now_s
         old = now_s - tenure.reported_s >= REPORT_MAX_AGE_S
-        asked = now_s - tenure.report_asked_s < RETRY_S
+        asked = now_s - tenure.report_asked_s < RETRY_INTERVAL_S
         if asked or not (in_doubt or old or not tenure.ready):
             return
         entry = self._context.configuration.endpoints[tenure.endpoint]
--- a/packages/core/src/knapweedbridge_core/owners.py
+++ b/packages/core/src/knapweedbridge_core/owners.py
@@ -21,7 +21,7 @@
     Stage,
 )
 from knapweedbridge_core.owner_records import ANY_INCARNATION, OWNER_KEY, OwnerRecord
-from knapweedbridge_core.times import CALL_TIMEOUT_S, RETRY_S
+from knapweedbridge_core.times import CALL_TIMEOUT_S, RETRY_INTERVAL_S
 
 __all__ = ["Change", "Claimed", "HandedOver", "Lost", "Owners", "Stage"]
 
@@ -106,13 +106,13 @@
     @staticmethod
     def _is_due(claim: OwnerClaim, now_s: float) -> bool:
         settled = claim.stage in (Stage.IDLE, Stage.READING_BACK)
-        pause_s = RETRY_S if settled else CALL_TIMEOUT_S
+        pause_s = RETRY_INTERVAL_S if settled else CALL_TIMEOUT_S
         return now_s - claim.since_s >= pause_s
 
     def _check(self, endpoint: str, claim: OwnerClaim, now_s: float) -> list[Action]:
         # After a lapse another daemon may have claimed; the record, read after this
         # daemon's life key stands again, says whether one has, and then none can.
-        if now_s - claim.since_s < RETRY_S:
+        if now_s - claim.since_s < RETRY_INTERVAL_S:
             return []
         if claim.stage is Stage.HANDING_BACK:
             claim.since_s = now_s
--- a/packages/core/src/knapweedbridge_core/times.py
+++ b/packages/core/src/knapweedbridge_core/times.py
@@ -10,7 +10,7 @@
 RENEW_S = 7.0
 """Pause between renewals: 0.14 calls a second a daemon."""
 
-RETRY_S = 1.0
+RETRY_INTERVAL_S = 1.0
 """Pause before a failed call is repeated."""
 
 CALL_TIMEOUT_S = 5.0
