--- a/packages/core/src/knapweedbridge_core/serving/engine_keeper.py
+++ b/packages/core/src/knapweedbridge_core/serving/engine_keeper.py
@@ -15,7 +15,7 @@
     OrderAnswer,
     OrderKind,
 )
-from knapweedbridge_core.serving.engine_places import Place, Want
+from knapweedbridge_core.serving.engine_places import AdapterRequest, Place
 from knapweedbridge_core.serving.engine_speed import EngineSpeed
 from knapweedbridge_core.serving.load_times import (
     TRIAL_SEEN_S,
@@ -95,7 +95,7 @@
         self._unsure = True
         self.loading_elsewhere = 0
         self.engines = 1
-        self._wants: OrderedDict[ModelRef, Want] = OrderedDict()
+        self._wants: OrderedDict[ModelRef, AdapterRequest] = OrderedDict()
         self._calls = EngineCalls()
         self._recent = RecentAdapters(recent, limits.recent_adapters)
         self._base_due_s = 0.0
@@ -106,7 +106,7 @@
         """Take a daemon's wish for an adapter."""
         known = self._wants.get(model)
         if known is None:
-            self._wants[model] = Want(version, now_s, now_s)
+            self._wants[model] = AdapterRequest(version, now_s, now_s)
             return
         known.version = max(known.version, version)
         known.again_s = now_s
@@ -250,10 +250,12 @@
         ]
         return ModelRef(fitting[0].name) if fitting else None
 
-    def _is_over(self, model: ModelRef, want: Want, now_s: float) -> bool:
+    def _is_over(self, model: ModelRef, want: AdapterRequest, now_s: float) -> bool:
         return self.holds(model, want.version) or now_s - want.again_s > WANT_LIFE_S
 
-    def _toward(self, model: ModelRef, want: Want, now_s: float) -> Order | None:
+    def _toward(
+        self, model: ModelRef, want: AdapterRequest, now_s: float
+    ) -> Order | None:
         place = self.places.get(model)
         if place is not None:
             # An older version: a replacement waits for its runs and refuses new
--- a/packages/core/src/knapweedbridge_core/serving/engine_places.py
+++ b/packages/core/src/knapweedbridge_core/serving/engine_places.py
@@ -32,7 +32,7 @@
 
 
 @dataclass(slots=True)
-class Want:
+class AdapterRequest:
     """An adapter that daemons wait for."""
 
     version: int
