--- a/packages/core/src/knapweedbridge_core/serving/overload.py
+++ b/packages/core/src/knapweedbridge_core/serving/overload.py
@@ -20,7 +20,7 @@
     TooLate,
 )
 
-OVERLOAD_AFTER_S = (1.0, 3.0)
+OVERLOAD_RETRY_AFTER_S = (1.0, 3.0)
 """When callers should come back that no engine can serve in time: peaks last about
 two seconds, and those who return together would make the next one."""
 
@@ -178,7 +178,7 @@
             return Admit(choice)
         if call.may_have_run:
             return _admit_late(choice)
-        after_s = self._luck.uniform(*OVERLOAD_AFTER_S) + choice.over_s
+        after_s = self._luck.uniform(*OVERLOAD_RETRY_AFTER_S) + choice.over_s
         return Reject("overloaded", after_s)
 
     def queued(self) -> int:
--- a/packages/standins/src/knapweedbridge_standins/serving_load/pool.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_load/pool.py
@@ -20,7 +20,7 @@
     is_small,
 )
 from knapweedbridge_core.serving.messages import EngineChanged, EngineTold
-from knapweedbridge_core.serving.overload import OVERLOAD_AFTER_S
+from knapweedbridge_core.serving.overload import OVERLOAD_RETRY_AFTER_S
 from knapweedbridge_core.serving.ownership import DaemonRecord
 from knapweedbridge_standins.serving_load.call import WAY_S, LoadCall
 from knapweedbridge_standins.serving_load.daemon import ModelledDaemon
@@ -235,7 +235,7 @@
     def refused(self, call: LoadCall, over_s: float) -> None:
         """Take that a call was refused; its caller comes back once."""
         self.figures.refusals += 1
-        back_s = self._luck.uniform(*OVERLOAD_AFTER_S) + over_s
+        back_s = self._luck.uniform(*OVERLOAD_RETRY_AFTER_S) + over_s
         if call.returned:
             if call.arrived_s < self._counted_from_s:
                 return
