--- a/bench/peer_messages.py
+++ b/bench/peer_messages.py
@@ -141,7 +141,7 @@
             started_ms=1,
             pace_scale=float(n % 3 == 1),
         )
-        hub.cluster.fleet.take_told(told, anyio.current_time())
+        hub.cluster.fleet.apply_snapshot(told, anyio.current_time())
 
 
 async def relayed_us() -> float:
--- a/features/serving/steps/decision_steps.py
+++ b/features/serving/steps/decision_steps.py
@@ -147,7 +147,7 @@
     context.fleet.listed(record("e"), NOW_S - ago)
     held = [["m", "told", 1, 0.0, 0, 0.0]]
     told = EngineTold("e", 7, 1, held, 0, 0, 3, 0, ["m"])
-    assert context.fleet.take_told(told, NOW_S - ago)
+    assert context.fleet.apply_snapshot(told, NOW_S - ago)
 
 
 @when('the platform lists it with "m/listed"')
--- a/features/serving/steps/kept_view_steps.py
+++ b/features/serving/steps/kept_view_steps.py
@@ -111,7 +111,7 @@
     told = EngineTold(
         name, 7, 0, [], 0, 0, 0, 0, ["m"], started_ms=1, pace_scale=float(scale)
     )
-    assert context.fleet.take_told(told, 0.0)
+    assert context.fleet.apply_snapshot(told, 0.0)
 
 
 @given("engines e0, e1 and e2 of which e1 has shown a scale of 1.5")
--- a/features/serving/steps/relay_steps.py
+++ b/features/serving/steps/relay_steps.py
@@ -105,7 +105,9 @@
     """Have the relay believe an owner, and hand it on."""
     now_s = anyio.current_time()
     fleet = context.cluster.fleet
-    take = fleet.take_told if isinstance(message, EngineTold) else fleet.take_changed
+    take = (
+        fleet.apply_snapshot if isinstance(message, EngineTold) else fleet.take_changed
+    )
     assert take(message, now_s)
     context.relaying.engine_told(message)
     return now_s
@@ -297,7 +299,7 @@
 @when("a relay tells that it runs {calls:d} calls in all")
 def relay_tells_calls(context, calls):
     message = EngineTold("e1", 7, 1, [], calls, 0, 3, 0, ["m"], of_all=True)
-    context.fleet.take_told(message, NOW_S)
+    context.fleet.apply_snapshot(message, NOW_S)
 
 
 @then("it is believed to run {calls:d}")
@@ -311,7 +313,7 @@
 def told_up_to(context):
     context.fleet = Fleet()
     context.fleet.listed(record(), NOW_S)
-    context.fleet.take_told(told(4, of_all=True), NOW_S)
+    context.fleet.apply_snapshot(told(4, of_all=True), NOW_S)
 
 
 @when("change 6 comes, and change 5 after it")
@@ -320,7 +322,7 @@
     context.missed = [fleet.has_missed(changed(6)), fleet.has_missed(changed(5))]
     context.taken = [
         fleet.take_changed(changed(6), NOW_S),
-        fleet.take_told(told(6, of_all=True), NOW_S) is not None,
+        fleet.apply_snapshot(told(6, of_all=True), NOW_S) is not None,
         fleet.take_changed(changed(5), NOW_S),
     ]
 
--- a/features/serving/steps/restart_steps.py
+++ b/features/serving/steps/restart_steps.py
@@ -92,7 +92,7 @@
 @when("its owner tells of it, started at {started:d}")
 def owner_tells(context, started):
     told = EngineTold("e1", 7, 1, [], 0, 0, 5, 0, ["m"], 0.0, started)
-    context.fleet.take_told(told, NOW_S)
+    context.fleet.apply_snapshot(told, NOW_S)
 
 
 @when("it reports that it started at {started:d}")
@@ -103,7 +103,7 @@
 @when("it starts at {started:d} and an older telling comes")
 def older_telling(context, started):
     context.fleet.listed(record(started), NOW_S)
-    assert context.fleet.take_told(telling(1000), NOW_S) is None
+    assert context.fleet.apply_snapshot(telling(1000), NOW_S) is None
 
 
 @when("it starts at {started:d} and a call of before fails")
--- a/features/speeds/steps/using_steps.py
+++ b/features/speeds/steps/using_steps.py
@@ -45,7 +45,7 @@
             told = EngineTold(
                 engine.name, 1, order, [], 3, 0, 8, 0, ["m"], started_ms=1, speed=speed
             )
-            context.fleet.take_told(told, NOW_S + order)
+            context.fleet.apply_snapshot(told, NOW_S + order)
     context.now_s = NOW_S + 2
     context.last = context.engines[-1].name
 
--- a/packages/core/src/knapweedbridge_core/serving/fleet.py
+++ b/packages/core/src/knapweedbridge_core/serving/fleet.py
@@ -158,7 +158,7 @@
         endpoint = self.endpoints.get(message.endpoint)
         return endpoint if endpoint and endpoint.start.may_be(start) else None
 
-    def take_told(self, message: EngineTold, now_s: float) -> Endpoint | None:
+    def apply_snapshot(self, message: EngineTold, now_s: float) -> Endpoint | None:
         """Take all that an owner tells of its engine; None where that is outdated."""
         endpoint = self._of_start(message, now_s)
         if endpoint is None or not endpoint.is_new(message):
--- a/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
@@ -189,7 +189,7 @@
         self._hub.load_times.trial_held(message.loads_at_once)
         known = self._hub.cluster.fleet.endpoints.get(message.endpoint)
         before = known.update_number if known else 0
-        endpoint = self._hub.cluster.fleet.take_told(message, now_s)
+        endpoint = self._hub.cluster.fleet.apply_snapshot(message, now_s)
         if endpoint is None:
             return False
         self._hub.engines_changed.tell()
--- a/packages/standins/src/knapweedbridge_standins/serving_load/daemon.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_load/daemon.py
@@ -78,7 +78,7 @@
         now_s = self.pool.clock.now_s
         if isinstance(message, EngineTold):
             self.load_times.told(message.cold_s)
-            self.fleet.take_told(message, now_s)
+            self.fleet.apply_snapshot(message, now_s)
         elif not self.fleet.take_changed(message, now_s):
             if not self.fleet.has_missed(message):
                 return
