--- a/packages/core/src/knapweedbridge_core/leases.py
+++ b/packages/core/src/knapweedbridge_core/leases.py
@@ -10,7 +10,7 @@
     CALL_TIMEOUT_S,
     CLOCK_MARGIN_S,
     LEASE_S,
-    RENEW_S,
+    RENEW_INTERVAL_S,
     RETRY_INTERVAL_S,
 )
 
@@ -72,7 +72,7 @@
         if not self.is_valid(now_s):
             self.epoch += 1
         self._valid_until_s = self._sent_s + LEASE_S - CLOCK_MARGIN_S
-        self._due_s = self._sent_s + RENEW_S
+        self._due_s = self._sent_s + RENEW_INTERVAL_S
         return []
 
     def _write(self, now_s: float) -> Action:
--- a/packages/core/src/knapweedbridge_core/times.py
+++ b/packages/core/src/knapweedbridge_core/times.py
@@ -7,7 +7,7 @@
 LEASE_S = 20.0
 """Life of a daemon's lease in the service after its last renewal."""
 
-RENEW_S = 7.0
+RENEW_INTERVAL_S = 7.0
 """Pause between renewals: 0.14 calls a second a daemon."""
 
 RETRY_INTERVAL_S = 1.0
