--- a/packages/core/src/knapweedbridge_core/serving/engine_keeper.py
+++ b/packages/core/src/knapweedbridge_core/serving/engine_keeper.py
@@ -133,7 +133,7 @@
         leaving = any(place.leaving for place in self.places.values())
         return self._unsure or loading or leaving
 
-    def stuck_wants(self, now_s: float) -> dict[str, int | bool] | None:
+    def describe_stuck_requests(self, now_s: float) -> dict[str, int | bool] | None:
         """Tell why adapters that are wanted for long are not loaded, or None.
 
         Returns
--- a/packages/daemon/src/knapweedbridge_daemon/serving/engine_owning.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/engine_owning.py
@@ -260,7 +260,7 @@
                 break
             await self._order(order)
             now_s = anyio.current_time()
-        stuck = self.keeper.stuck_wants(anyio.current_time())
+        stuck = self.keeper.describe_stuck_requests(anyio.current_time())
         if stuck is not None:
             self._hub.log.info("engine.stuck", engine=self.endpoint.name, **stuck)
 
