--- a/features/prompt_parts/steps/ledger_steps.py
+++ b/features/prompt_parts/steps/ledger_steps.py
@@ -13,7 +13,7 @@
     refusal_key,
     refusal_publishers,
 )
-from knapweedbridge_core.serving.crash_parts import MOST_CALLS, MOST_SUSPECTS
+from knapweedbridge_core.serving.crash_parts import MAX_CALLS_PER_LOSS, MOST_SUSPECTS
 from knapweedbridge_daemon.serving.blame_notifier import BlameNotifier
 
 NOW_S = 1000.0
@@ -210,7 +210,7 @@
 
 @then("at most {most:d} calls are told")
 def told_at_most(context, most):
-    assert most == MOST_CALLS
+    assert most == MAX_CALLS_PER_LOSS
     assert len(context.found.calls) <= most, len(context.found.calls)
 
 
--- a/packages/core/src/knapweedbridge_core/serving/crash_parts.py
+++ b/packages/core/src/knapweedbridge_core/serving/crash_parts.py
@@ -41,7 +41,7 @@
 
 MOST_SOUND = 4096
 MOST_SUSPECTS = 1000
-MOST_CALLS = 64
+MAX_CALLS_PER_LOSS = 64
 """Calls that are held against one loss, of one host."""
 
 
@@ -140,7 +140,7 @@
             Parts of the calls of which this host knows that they are sound.
         """
         sound: set[str] = set()
-        for call in calls[:MOST_CALLS]:
+        for call in calls[:MAX_CALLS_PER_LOSS]:
             parts = frozenset(self.unproven(call.parts, at_s))
             sound.update(set(call.parts) - parts)
             for part in parts:
--- a/packages/core/src/knapweedbridge_core/serving/crashes.py
+++ b/packages/core/src/knapweedbridge_core/serving/crashes.py
@@ -16,7 +16,7 @@
 from knapweedbridge_core.blame import LOSSES_REFUSED, Blame, Verdict
 from knapweedbridge_core.serving.call_marks import SEPARATOR, request_digest
 from knapweedbridge_core.serving.crash_parts import (
-    MOST_CALLS,
+    MAX_CALLS_PER_LOSS,
     SETTLE_S,
     PartLedger,
 )
@@ -113,7 +113,7 @@
         found.marks.append(ending.fingerprint)
         self.told(ending.fingerprint, loss_id(ending.start), found.at_s)
         parts = tuple(self.parts.unproven(ending.parts, now_s))
-        if parts and len(found.calls) < MOST_CALLS:
+        if parts and len(found.calls) < MAX_CALLS_PER_LOSS:
             call = LostCall(request_digest(ending.fingerprint), parts)
             found.calls.append(call)
             self.parts.blamed(loss_id(ending.start), [call], found.at_s)
