--- a/features/serving/steps/relay_steps.py
+++ b/features/serving/steps/relay_steps.py
@@ -106,7 +106,7 @@
     now_s = anyio.current_time()
     fleet = context.cluster.fleet
     take = (
-        fleet.apply_snapshot if isinstance(message, EngineTold) else fleet.take_changed
+        fleet.apply_snapshot if isinstance(message, EngineTold) else fleet.apply_update
     )
     assert take(message, now_s)
     context.relaying.engine_told(message)
@@ -321,9 +321,9 @@
     fleet = context.fleet
     context.missed = [fleet.has_missed(changed(6)), fleet.has_missed(changed(5))]
     context.taken = [
-        fleet.take_changed(changed(6), NOW_S),
+        fleet.apply_update(changed(6), NOW_S),
         fleet.apply_snapshot(told(6, of_all=True), NOW_S) is not None,
-        fleet.take_changed(changed(5), NOW_S),
+        fleet.apply_update(changed(5), NOW_S),
     ]
 
 
--- a/features/speeds/steps/using_steps.py
+++ b/features/speeds/steps/using_steps.py
@@ -86,7 +86,7 @@
 @when("its owner tells that it is unknown")
 def told_unknown(context):
     changed = EngineChanged(context.last, 1, 3, [], [], 0, 0, 8, 0, ["m"], 1)
-    assert context.fleet.take_changed(changed, context.now_s)
+    assert context.fleet.apply_update(changed, context.now_s)
 
 
 @when('settings hold "{text}" for learn_speeds')
--- a/packages/core/src/knapweedbridge_core/serving/fleet.py
+++ b/packages/core/src/knapweedbridge_core/serving/fleet.py
@@ -221,7 +221,7 @@
         told = endpoint.update_number, endpoint.update_order + 1
         return (message.number, message.order) > told
 
-    def take_changed(self, message: EngineChanged, now_s: float) -> bool:
+    def apply_update(self, message: EngineChanged, now_s: float) -> bool:
         """Take what changed; False where something before it was missed."""
         endpoint = self._of_start(message, now_s)
         if endpoint is None or not endpoint.is_next(message):
--- a/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
@@ -212,7 +212,7 @@
         fleet = self._hub.cluster.fleet
         endpoint = fleet.endpoints.get(message.endpoint)
         before = endpoint and (endpoint.places_free, endpoint.wants)
-        if not fleet.take_changed(message, now_s):
+        if not fleet.apply_update(message, now_s):
             return False
         # Calls that wait for an adapter are placed anew only where that may help:
         # loads are told some fifty times a second, and sixty calls that were placed
--- a/packages/standins/src/knapweedbridge_standins/serving_load/daemon.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_load/daemon.py
@@ -79,7 +79,7 @@
         if isinstance(message, EngineTold):
             self.load_times.told(message.cold_s)
             self.fleet.apply_snapshot(message, now_s)
-        elif not self.fleet.take_changed(message, now_s):
+        elif not self.fleet.apply_update(message, now_s):
             if not self.fleet.has_missed(message):
                 return
             ask = self.pool.owners[message.endpoint].asked
