--- a/packages/core/src/knapweedbridge_core/estate.py
+++ b/packages/core/src/knapweedbridge_core/estate.py
@@ -6,7 +6,7 @@
 from knapweedbridge_core.names import AdapterVersion
 from knapweedbridge_core.owners import Owners
 from knapweedbridge_core.tenure import Tenure
-from knapweedbridge_core.times import CONTACT_S, SILENT_S
+from knapweedbridge_core.times import CONTACT_S, SILENCE_TIMEOUT_S
 
 NEIGHBOURS = 6
 """Others of whom most must be heard; a greater pool has as many neighbours."""
@@ -41,9 +41,11 @@
         no measure: a daemon cut off with few others takes nobody for dead.
         """
         now_s = self._context.now_s
-        if now_s - self._ticked_s >= SILENT_S:
+        if now_s - self._ticked_s >= SILENCE_TIMEOUT_S:
             return False
-        heard = [at_s for at_s in self._heard_s.values() if now_s - at_s < SILENT_S]
+        heard = [
+            at_s for at_s in self._heard_s.values() if now_s - at_s < SILENCE_TIMEOUT_S
+        ]
         others = min(len(self._context.members.known()), NEIGHBOURS)
         return 2 * (len(heard) + 1) > others + 1
 
--- a/packages/core/src/knapweedbridge_core/grant_side.py
+++ b/packages/core/src/knapweedbridge_core/grant_side.py
@@ -11,7 +11,11 @@
 from knapweedbridge_core.leases import LIVENESS_PREFIX
 from knapweedbridge_core.outcomes import Reason
 from knapweedbridge_core.tenure import Tenure
-from knapweedbridge_core.times import RECONCILE_INTERVAL_S, RETRY_INTERVAL_S, SILENT_S
+from knapweedbridge_core.times import (
+    RECONCILE_INTERVAL_S,
+    RETRY_INTERVAL_S,
+    SILENCE_TIMEOUT_S,
+)
 
 LIFE_TOKEN = "holder-life"
 
@@ -139,7 +143,7 @@
                 ask = self._asks[key] = _Ask(now_s)
             if ask.answered:
                 continue
-            if now_s - ask.since_s >= SILENT_S:
+            if now_s - ask.since_s >= SILENCE_TIMEOUT_S:
                 silent.add(host)
             if host in linked and now_s - ask.sent_s >= RETRY_INTERVAL_S:
                 ask.sent_s = now_s
@@ -151,7 +155,7 @@
         now_s = self._context.now_s
         if host == self._context.host:
             return
-        if now_s - self._polled_s.get(host, -SILENT_S) < SILENT_S:
+        if now_s - self._polled_s.get(host, -SILENCE_TIMEOUT_S) < SILENCE_TIMEOUT_S:
             return
         self._polled_s[host] = now_s
         key = (LIVENESS_PREFIX + host,)
--- a/packages/core/src/knapweedbridge_core/times.py
+++ b/packages/core/src/knapweedbridge_core/times.py
@@ -34,7 +34,7 @@
 RECONCILE_INTERVAL_S = 10.0
 """Pause between an owner's questions to a holder about grants it keeps."""
 
-SILENT_S = 3.0
+SILENCE_TIMEOUT_S = 3.0
 """A holder that has not answered for this long is looked up in the service."""
 
 WITNESS_TIMEOUT_S = 2.0
