--- a/bench/mutants_serving.py
+++ b/bench/mutants_serving.py
@@ -65,7 +65,7 @@
         [
             rewritten(
                 EngineController,
-                "_toward",
+                "_order_toward",
                 ("len(self.places) < self.limits.adapter_places", "True"),
             )
         ],
--- a/packages/core/src/knapweedbridge_core/serving/engine_keeper.py
+++ b/packages/core/src/knapweedbridge_core/serving/engine_keeper.py
@@ -234,7 +234,7 @@
                 continue
             if coming >= COMING_MOST or model.base not in self.bases:
                 continue
-            order = self._toward(model, want, now_s)
+            order = self._order_toward(model, want, now_s)
             if order is not None:
                 return order
         return None
@@ -253,7 +253,7 @@
     def _is_over(self, model: ModelRef, want: AdapterRequest, now_s: float) -> bool:
         return self.holds(model, want.version) or now_s - want.again_s > WANT_LIFE_S
 
-    def _toward(
+    def _order_toward(
         self, model: ModelRef, want: AdapterRequest, now_s: float
     ) -> Order | None:
         place = self.places.get(model)
