--- a/packages/core/src/knapweedbridge_core/serving/crashes.py
+++ b/packages/core/src/knapweedbridge_core/serving/crashes.py
@@ -22,7 +22,7 @@
 )
 from knapweedbridge_core.serving.endings import (
     JUDGED_S,
-    PROOF_S,
+    LOSS_PROOF_TIMEOUT_S,
     IncompleteCall,
     LossEvidence,
     loss_id,
@@ -96,7 +96,7 @@
         lost_s = [
             at_s
             for each, at_s in self._lost.items()
-            if each.may_be(start) and now_s - at_s <= PROOF_S
+            if each.may_be(start) and now_s - at_s <= LOSS_PROOF_TIMEOUT_S
         ]
         if not lost_s:
             self._endings.append(ending)
@@ -183,7 +183,9 @@
         recent = [each for each in of_start if each.is_recent(now_s)]
         first_s = self._broke_s(recent, now_s)
         known = self._lost.items()
-        self._lost = {each: at_s for each, at_s in known if now_s - at_s <= PROOF_S}
+        self._lost = {
+            each: at_s for each, at_s in known if now_s - at_s <= LOSS_PROOF_TIMEOUT_S
+        }
         self._lost.setdefault(start, first_s)
         self.record_loss_time(start.endpoint, first_s)
         found: dict[str, LossEvidence] = {}
--- a/packages/core/src/knapweedbridge_core/serving/endings.py
+++ b/packages/core/src/knapweedbridge_core/serving/endings.py
@@ -6,7 +6,7 @@
 from knapweedbridge_core.serving.endpoint_records import EndpointStart
 from knapweedbridge_core.serving.suspect_parts import LostCall
 
-PROOF_S = 6.0
+LOSS_PROOF_TIMEOUT_S = 6.0
 """Longest time from a call's end to the proof that its endpoint was lost by then. The
 entry of an endpoint that is silent lapses after three heartbeats of 1.2 s, is removed
 within a second, and a relay tells of it within another."""
@@ -41,7 +41,7 @@
 
     def is_recent(self, now_s: float) -> bool:
         """Return whether a loss that shows now may have ended it."""
-        return now_s - self.at_s <= PROOF_S
+        return now_s - self.at_s <= LOSS_PROOF_TIMEOUT_S
 
     def is_awaited(self, now_s: float) -> bool:
         """Return whether what became of the endpoint is about to show."""
