--- a/features/plain/steps/entry_steps.py
+++ b/features/plain/steps/entry_steps.py
@@ -162,7 +162,7 @@
     numbers = [record.slots, record.started_ms, *record.adapters.values()]
     if not all(0 <= each < MOST for each in numbers):
         return False
-    return bool(encode(hub.cluster.fleet.tell_all(endpoint, 0.0)))
+    return bool(encode(hub.cluster.fleet.build_snapshot(endpoint, 0.0)))
 
 
 @when("{count:d} entries are taken that are {kind}")
--- a/features/speeds/steps/using_steps.py
+++ b/features/speeds/steps/using_steps.py
@@ -69,7 +69,7 @@
 @then("a relay hands on {speed:g}")
 def relayed(context, speed):
     endpoint = context.fleet.endpoints[context.last]
-    assert context.fleet.tell_all(endpoint, context.now_s).speed == speed
+    assert context.fleet.build_snapshot(endpoint, context.now_s).speed == speed
 
 
 @when("the engine starts again")
--- a/packages/core/src/knapweedbridge_core/serving/fleet.py
+++ b/packages/core/src/knapweedbridge_core/serving/fleet.py
@@ -182,7 +182,7 @@
         engines = self._by_service[endpoint.record.service].values()
         self.speeds.take(endpoint, message.speed, engines, now_s)
 
-    def tell_all(self, endpoint: Endpoint, now_s: float) -> EngineTold:
+    def build_snapshot(self, endpoint: Endpoint, now_s: float) -> EngineTold:
         """Return what an owner told of an engine, for those that have not heard it."""
         held = [
             [
--- a/packages/daemon/src/knapweedbridge_daemon/serving/relaying.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/relaying.py
@@ -240,4 +240,4 @@
         heard: list[Endpoint] = [
             e for e in fleet.engines() if e.has_recent_update(now_s)
         ]
-        return [fleet.tell_all(each, now_s) for each in heard]
+        return [fleet.build_snapshot(each, now_s) for each in heard]
