--- a/packages/core/src/knapweedbridge_core/estate.py
+++ b/packages/core/src/knapweedbridge_core/estate.py
@@ -6,7 +6,7 @@
 from knapweedbridge_core.names import AdapterVersion
 from knapweedbridge_core.owners import Owners
 from knapweedbridge_core.tenure import Tenure
-from knapweedbridge_core.times import CONTACT_S, SILENCE_TIMEOUT_S
+from knapweedbridge_core.times import CONTACT_MAX_AGE_S, SILENCE_TIMEOUT_S
 
 NEIGHBOURS = 6
 """Others of whom most must be heard; a greater pool has as many neighbours."""
@@ -60,7 +60,7 @@
         self._heard_s = {
             host: at_s
             for host, at_s in self._heard_s.items()
-            if self._context.now_s - at_s < CONTACT_S
+            if self._context.now_s - at_s < CONTACT_MAX_AGE_S
         }
         self._ticked_s = self._context.now_s
 
--- a/packages/core/src/knapweedbridge_core/takeover.py
+++ b/packages/core/src/knapweedbridge_core/takeover.py
@@ -6,7 +6,7 @@
 from knapweedbridge_core.names import AdapterVersion
 from knapweedbridge_core.times import (
     CLOCK_MARGIN_S,
-    CONTACT_S,
+    CONTACT_MAX_AGE_S,
     ORDER_TRANSIT_S,
     QUARANTINE_S,
 )
@@ -29,8 +29,8 @@
     if clean:
         return 0.0
     if checks_fencing:
-        return CONTACT_S + CLOCK_MARGIN_S
-    return max(CONTACT_S, ORDER_TRANSIT_S) + CLOCK_MARGIN_S
+        return CONTACT_MAX_AGE_S + CLOCK_MARGIN_S
+    return max(CONTACT_MAX_AGE_S, ORDER_TRANSIT_S) + CLOCK_MARGIN_S
 
 
 @dataclass(slots=True)
--- a/packages/core/src/knapweedbridge_core/times.py
+++ b/packages/core/src/knapweedbridge_core/times.py
@@ -22,7 +22,7 @@
 ORDER_TRANSIT_S = 5.0
 """Longest way of an order from its sending to its effect."""
 
-CONTACT_S = 6.0
+CONTACT_MAX_AGE_S = 6.0
 """Oldest a daemon's knowledge of who answers may be."""
 
 QUARANTINE_S = 120.0
