--- a/packages/core/src/knapweedbridge_core/serving/engine_teller.py
+++ b/packages/core/src/knapweedbridge_core/serving/engine_teller.py
@@ -117,7 +117,7 @@
         still_due = not small and since_s >= TELL_STILL_S
         if news_due or still_due:
             return self._tell_changes(set(subscribers), now_s)
-        return self.tell_asked(now_s)
+        return self.take_requested(now_s)
 
     def _tell_changes(
         self, subscribers: set[str], now_s: float
@@ -144,7 +144,7 @@
         self._lost.clear()
         return tellings
 
-    def tell_asked(self, now_s: float) -> list[AddressedUpdate]:
+    def take_requested(self, now_s: float) -> list[AddressedUpdate]:
         """Tell all to those that missed a telling or are new, and nothing to others."""
         tellings = self._tell_all(self._lost, now_s)
         self._lost.clear()
--- a/packages/daemon/src/knapweedbridge_daemon/serving/engine_owning.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/engine_owning.py
@@ -360,7 +360,7 @@
     async def asked_for_all(self, daemon: str) -> None:
         """Answer a daemon that missed a telling, or has a call to place."""
         self._teller.asked_for_all(daemon)
-        for telling in self._teller.tell_asked(anyio.current_time()):
+        for telling in self._teller.take_requested(anyio.current_time()):
             await self._send(telling.daemon, telling.message)
 
     async def _tell(self) -> None:
--- a/packages/standins/src/knapweedbridge_standins/serving_load/owner.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_load/owner.py
@@ -124,7 +124,7 @@
     def asked(self, daemon: str) -> None:
         """Take that a daemon missed a telling."""
         self._teller.asked_for_all(daemon)
-        for telling in self._teller.tell_asked(self._pool.clock.now_s):
+        for telling in self._teller.take_requested(self._pool.clock.now_s):
             self._pool.tell(telling.daemon, self.daemon, telling.message)
 
     def work(self) -> None:
