--- a/packages/core/src/knapweedbridge_core/serving/crashes.py
+++ b/packages/core/src/knapweedbridge_core/serving/crashes.py
@@ -21,8 +21,8 @@
     PartLedger,
 )
 from knapweedbridge_core.serving.endings import (
-    JUDGED_S,
     LOSS_PROOF_TIMEOUT_S,
+    VERDICT_TIMEOUT_S,
     IncompleteCall,
     LossEvidence,
     loss_id,
@@ -129,7 +129,7 @@
         """Return whether a loss is about to be judged that a call may have caused."""
         unproven = set(self.parts.unproven(parts, now_s))
         recent = takewhile(
-            lambda each: now_s - each.at_s < JUDGED_S, reversed(self._endings)
+            lambda each: now_s - each.at_s < VERDICT_TIMEOUT_S, reversed(self._endings)
         )
         is_open = any(
             each.is_awaited(now_s)
@@ -145,7 +145,7 @@
 
     def hold(self, marks: Iterable[str], parts: Iterable[str], now_s: float) -> None:
         """Record that a host has a loss to judge that suspects may have caused."""
-        until_s = now_s + JUDGED_S
+        until_s = now_s + VERDICT_TIMEOUT_S
         held = self._held.items()
         self._held = {each: end_s for each, end_s in held if end_s > now_s}
         self._held |= {each: until_s for each in marks if self._blame.knows(each)}
--- a/packages/core/src/knapweedbridge_core/serving/endings.py
+++ b/packages/core/src/knapweedbridge_core/serving/endings.py
@@ -11,7 +11,7 @@
 entry of an endpoint that is silent lapses after three heartbeats of 1.2 s, is removed
 within a second, and a relay tells of it within another."""
 
-JUDGED_S = 1.0
+VERDICT_TIMEOUT_S = 1.0
 """Longest wait for the proof of a loss."""
 
 
@@ -45,7 +45,7 @@
 
     def is_awaited(self, now_s: float) -> bool:
         """Return whether what became of the endpoint is about to show."""
-        return not self.is_judged and now_s - self.at_s < JUDGED_S
+        return not self.is_judged and now_s - self.at_s < VERDICT_TIMEOUT_S
 
 
 @dataclass(slots=True)
