--- a/bench/engine_choice.py
+++ b/bench/engine_choice.py
@@ -60,7 +60,7 @@
         now_s = 0.001 * n
         model = ModelRef("m", f"a{int(ADAPTERS * luck.random() ** 3)}")
         reachable = fleet.reachable("llm", now_s)
-        fleet.guess_load(reachable, daemons, False, now_s)
+        fleet.estimate_load(reachable, daemons, False, now_s)
         ask = PlacementAsk(model, None, "d1", frozenset(), 900, OBJECTIVE_S)
         admission.choose(ask, reachable, OBJECTIVE_S, True, now_s)
     return (time.perf_counter() - began_s) / CALLS * 1000
--- a/features/load/steps/load_steps.py
+++ b/features/load/steps/load_steps.py
@@ -64,7 +64,9 @@
 
 WITHOUT = {
     "do not ask before they send": mock.patch.object(load_daemon, "QUESTIONS_MOST", 0),
-    "take unknown engines for busy": mock.patch.object(Fleet, "guess_load", guess_busy),
+    "take unknown engines for busy": mock.patch.object(
+        Fleet, "estimate_load", guess_busy
+    ),
 }
 
 
--- a/features/speeds/steps/using_steps.py
+++ b/features/speeds/steps/using_steps.py
@@ -80,7 +80,7 @@
 @when("its owner tells nothing for {s:g} s")
 def owner_silent(context, s):
     engines = context.fleet.reachable("llm", context.now_s + s)
-    context.fleet.guess_load(engines, 9, False, context.now_s + s)
+    context.fleet.estimate_load(engines, 9, False, context.now_s + s)
 
 
 @when("its owner tells that it is unknown")
--- a/packages/core/src/knapweedbridge_core/serving/fleet.py
+++ b/packages/core/src/knapweedbridge_core/serving/fleet.py
@@ -349,7 +349,7 @@
         )
         return first_s if first_s is not None and first_s > now_s else None
 
-    def guess_load(
+    def estimate_load(
         self, engines: list[Endpoint], daemons: int, small: bool, now_s: float
     ) -> None:
         """Take a load for the engines of which no owner tells.
--- a/packages/daemon/src/knapweedbridge_daemon/serving/placing.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/placing.py
@@ -230,7 +230,7 @@
         )
         able = filter(call.may_go_to, cluster.fleet.reachable(call.service, now_s))
         engines = exclude_limited(list(able), model)
-        cluster.fleet.guess_load(
+        cluster.fleet.estimate_load(
             engines, self._hub.daemons, cluster.is_small_pool, now_s
         )
         engines = policy.eligible_engines(case, engines, now_s)
--- a/packages/standins/src/knapweedbridge_standins/serving_load/daemon.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_load/daemon.py
@@ -156,7 +156,9 @@
             max_first_event_wait_s(route, waited_s, call.accepted),
         )
         engines = self.fleet.reachable("llm", now_s)
-        self.fleet.guess_load(engines, len(self.pool.daemons), self.pool.small, now_s)
+        self.fleet.estimate_load(
+            engines, len(self.pool.daemons), self.pool.small, now_s
+        )
         is_new, call.placed = not call.placed, True
         return self._admission.choose(ask, engines, call.mix.objective_s, is_new, now_s)
 
--- a/packages/standins/src/knapweedbridge_standins/serving_load/overload_pool.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_load/overload_pool.py
@@ -247,7 +247,9 @@
             self.policy.patience_s(case, call.accepted, now_s),
         )
         engines = self.fleet.reachable("llm", now_s)
-        self.fleet.guess_load(engines, len(self.pool.daemons), self.pool.small, now_s)
+        self.fleet.estimate_load(
+            engines, len(self.pool.daemons), self.pool.small, now_s
+        )
         engines = self.policy.eligible_engines(case, engines, now_s)
         is_new, call.placed = not call.placed and not overdue, True
         return self._admission.choose(ask, engines, call.mix.objective_s, is_new, now_s)
