--- a/packages/core/src/knapweedbridge_core/policy.py
+++ b/packages/core/src/knapweedbridge_core/policy.py
@@ -2,13 +2,13 @@
 
 from dataclasses import dataclass
 
-from knapweedbridge_core.schema import Choice, Flag, Key, Kind, Number, Section
+from knapweedbridge_core.schema import Choice, Flag, Key, Number, Section, ValueType
 
 STALLS = 0.0
 BATCHES = 1.0
 
 
-class Weigh(Kind):
+class Weigh(ValueType):
     """``stalls``, ``batches``, or a number between them."""
 
     allowed = "stalls, batches or a number from 0 (stalls) to 1 (batches)"
--- a/packages/core/src/knapweedbridge_core/schema.py
+++ b/packages/core/src/knapweedbridge_core/schema.py
@@ -15,7 +15,7 @@
 _DIGEST = re.compile(r"[0-9a-f]{64}")
 
 
-class Kind(ABC):
+class ValueType(ABC):
     """What a key may hold."""
 
     allowed: str
@@ -25,7 +25,7 @@
         """Turn the text into a value, or raise ValueError."""
 
 
-class Text(Kind):
+class Text(ValueType):
     """Any text."""
 
     allowed = "any text"
@@ -35,7 +35,7 @@
         return text
 
 
-class Name(Kind):
+class Name(ValueType):
     """A name as in `names.is_name`."""
 
     allowed = "a name of letters, digits, '.', '_' and '-'"
@@ -47,7 +47,7 @@
         return text
 
 
-class Names(Kind):
+class Names(ValueType):
     """A comma-separated list of names."""
 
     allowed = "names separated by commas"
@@ -74,7 +74,7 @@
         return methods
 
 
-class Flag(Kind):
+class Flag(ValueType):
     """Yes or no."""
 
     allowed = "yes or no"
@@ -85,7 +85,7 @@
         return values[text.lower()]
 
 
-class Number(Kind):
+class Number(ValueType):
     """A number within bounds."""
 
     def __init__(self, low: float, high: float, whole: bool = False) -> None:
@@ -102,7 +102,7 @@
         return value
 
 
-class Choice(Kind):
+class Choice(ValueType):
     """One of a few words."""
 
     def __init__(self, *words: str) -> None:
@@ -116,7 +116,7 @@
         return text
 
 
-class Address(Kind):
+class Address(ValueType):
     """An IP number and a port; version 6 stands in brackets."""
 
     allowed = "an address of the form IP:port, the IP as a number"
@@ -134,7 +134,7 @@
         return text
 
 
-class Url(Kind):
+class Url(ValueType):
     """An HTTP URL whose host is an IP number."""
 
     allowed = "a URL of the form http://IP:port or https://IP:port, IP as a number"
@@ -148,7 +148,7 @@
         return text
 
 
-class Digest(Kind):
+class Digest(ValueType):
     """A SHA-256 in lower-case hexadecimal, as `hashlib` writes it."""
 
     allowed = "64 digits of lower-case hexadecimal, the SHA-256 of the key"
@@ -160,7 +160,7 @@
         return text
 
 
-class FilePath(Kind):
+class FilePath(ValueType):
     """A file that must be readable when the daemon starts."""
 
     allowed = "the path of a readable file"
@@ -184,7 +184,7 @@
         What the key is for, with its unit.
     """
 
-    kind: Kind
+    kind: ValueType
     default: str | None
     help: str
 
