--- a/packages/core/src/knapweedbridge_core/serving/engine_teller.py
+++ b/packages/core/src/knapweedbridge_core/serving/engine_teller.py
@@ -68,7 +68,7 @@
         """Note that a daemon waits for an adapter."""
         self._wanted_by.setdefault(model, set()).add(daemon)
 
-    def load_ordered(self, model: ModelRef) -> None:
+    def record_load_ordered(self, model: ModelRef) -> None:
         """Take that an adapter is on its way; who waits for it is told at once."""
         self._lost |= self._wanted_by.pop(model, set())
 
--- a/packages/daemon/src/knapweedbridge_daemon/serving/engine_owning.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/engine_owning.py
@@ -334,7 +334,7 @@
         self.keeper.answered(order, answer, anyio.current_time())
         self._teller.held_changed()
         if order.kind is OrderKind.LOAD and answer is not OrderAnswer.UNKNOWN:
-            self._teller.load_ordered(order.model)
+            self._teller.record_load_ordered(order.model)
         hub.measures.count("orders", f"{order.kind.value}_{answer.value}")
         hub.log.info(
             "engine.ordered",
--- a/packages/standins/src/knapweedbridge_standins/serving_load/owner.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_load/owner.py
@@ -159,7 +159,7 @@
         self.keeper.answered(order, answer, now_s)
         self._teller.held_changed()
         if order.kind is OrderKind.LOAD:
-            self._teller.load_ordered(order.model)
+            self._teller.record_load_ordered(order.model)
         self._ordering = False
         self.work()
 
