--- a/features/plain/steps/choice_steps.py
+++ b/features/plain/steps/choice_steps.py
@@ -101,7 +101,7 @@
         name, _, calls = word.partition("=")
         refused = int(calls.endswith("!"))
         context.counter.take(name, int(calls.rstrip("!")), 0.0, refused=refused)
-    context.counter.forget_missing(LISTED)
+    context.counter.remove_missing(LISTED)
     context.state = context.counter.state(after, asker)
 
 
--- a/packages/core/src/knapweedbridge_core/serving/plain_load.py
+++ b/packages/core/src/knapweedbridge_core/serving/plain_load.py
@@ -122,7 +122,7 @@
     def _running_besides(self, daemon: str) -> int:
         return sum(told.calls for name, told in self._told.items() if name != daemon)
 
-    def forget_missing(self, daemons: Container[str]) -> None:
+    def remove_missing(self, daemons: Container[str]) -> None:
         """Forget the requests of daemons that are not listed any more."""
         for name in list(self._told):
             if name not in daemons:
--- a/packages/daemon/src/knapweedbridge_daemon/serving/plain_counters.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/plain_counters.py
@@ -84,7 +84,7 @@
             self._forget_others()
             counter = PlainCounter(endpoint.record.slots)
             self._counters[endpoint.start] = counter
-        counter.forget_missing(self._hub.cluster.daemons)
+        counter.remove_missing(self._hub.cluster.daemons)
         return counter
 
     def _forget_others(self) -> None:
