--- a/packages/core/src/knapweedbridge_core/serving/cluster_state.py
+++ b/packages/core/src/knapweedbridge_core/serving/cluster_state.py
@@ -370,7 +370,9 @@
         named = self.versions.get(model)
         return named.newest if named else None
 
-    def versions_now(self, model: ModelRef, now_s: float) -> ServableVersions | None:
+    def servable_versions(
+        self, model: ModelRef, now_s: float
+    ) -> ServableVersions | None:
         """Return which versions may serve a call; None where none was named.
 
         Parameters
--- a/packages/daemon/src/knapweedbridge_daemon/serving/attempting.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/attempting.py
@@ -136,7 +136,7 @@
         if version is None or call.details.model is None:
             return True
         now_s = self._hub.steady_s()
-        versions = self._hub.cluster.versions_now(call.details.model, now_s)
+        versions = self._hub.cluster.servable_versions(call.details.model, now_s)
         # Without the forecast that placement goes by, so that a call which was placed
         # at this moment is not withheld.
         return versions is None or versions.serves(version, 0.0)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/placing.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/placing.py
@@ -242,7 +242,7 @@
     def _versions_now(self, model: ModelRef) -> ServableVersions | None:
         if not model.adapter:
             return None
-        return self._hub.cluster.versions_now(model, self._hub.steady_s())
+        return self._hub.cluster.servable_versions(model, self._hub.steady_s())
 
     async def _want(self, call: Call, endpoint: Endpoint) -> None:
         model = call.details.model
--- a/packages/standins/src/knapweedbridge_standins/serving_histories/versions.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_histories/versions.py
@@ -148,7 +148,7 @@
         return fleet
 
     def _call(self, daemon: _Daemon) -> None:
-        versions = daemon.cluster.versions_now(MODEL, self._now_s)
+        versions = daemon.cluster.servable_versions(MODEL, self._now_s)
         ask = PlacementAsk(MODEL, versions, "d")
         engines = self._fleet().reachable("s", self._now_s)
         self._luck.shuffle(engines)
