--- a/packages/core/src/knapweedbridge_core/serving/engine_teller.py
+++ b/packages/core/src/knapweedbridge_core/serving/engine_teller.py
@@ -72,7 +72,7 @@
         """Take that an adapter is on its way; who waits for it is told at once."""
         self._lost |= self._wanted_by.pop(model, set())
 
-    def asked_for_all(self, daemon: str) -> None:
+    def request_snapshot(self, daemon: str) -> None:
         """Take that a daemon missed a telling."""
         self._lost.add(daemon)
 
--- a/packages/daemon/src/knapweedbridge_daemon/serving/engine_owners.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/engine_owners.py
@@ -133,7 +133,7 @@
         elif isinstance(message, TurnRequest):
             await owner.turns.asked(daemon, message)
         elif isinstance(message, EngineSnapshotRequest):
-            await owner.asked_for_all(daemon)
+            await owner.request_snapshot(daemon)
         elif isinstance(message, AdapterMissed):
             owner.missed(ModelRef(message.base, message.adapter))
         else:
--- a/packages/daemon/src/knapweedbridge_daemon/serving/engine_owning.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/engine_owning.py
@@ -130,7 +130,7 @@
         if self.keeper.holds(model, version) and not small:
             # It has not heard of it yet, and no order will tell it. In a small pool
             # each change is told to all at once.
-            self._teller.asked_for_all(daemon)
+            self._teller.request_snapshot(daemon)
         self.keeper.want(model, version, anyio.current_time())
         self._work.set()
 
@@ -357,9 +357,9 @@
             each.coming(now_s) for each in engines if each is not self.endpoint
         )
 
-    async def asked_for_all(self, daemon: str) -> None:
+    async def request_snapshot(self, daemon: str) -> None:
         """Answer a daemon that missed a telling, or has a call to place."""
-        self._teller.asked_for_all(daemon)
+        self._teller.request_snapshot(daemon)
         for telling in self._teller.take_requested(anyio.current_time()):
             await self._send(telling.daemon, telling.message)
 
--- a/packages/standins/src/knapweedbridge_standins/serving_load/owner.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_load/owner.py
@@ -96,7 +96,7 @@
         """Take a daemon's wish."""
         self._teller.wanted_by(daemon, model)
         if self.keeper.holds(model, 0) and not self._pool.small:
-            self._teller.asked_for_all(daemon)
+            self._teller.request_snapshot(daemon)
         self.keeper.want(model, 0, self._pool.clock.now_s)
         self.work()
 
@@ -123,7 +123,7 @@
 
     def asked(self, daemon: str) -> None:
         """Take that a daemon missed a telling."""
-        self._teller.asked_for_all(daemon)
+        self._teller.request_snapshot(daemon)
         for telling in self._teller.take_requested(self._pool.clock.now_s):
             self._pool.tell(telling.daemon, self.daemon, telling.message)
 
