--- a/features/plain/steps/choice_steps.py
+++ b/features/plain/steps/choice_steps.py
@@ -85,7 +85,7 @@
 @then("a request is expected to take {work} ms, usually {usual} ms")
 def expected(context, work, usual):
     state = context.counter.state(context.now_s)
-    for took_s, bounds in ((state.work_s, work), (state.usual_s, usual)):
+    for took_s, bounds in ((state.work_s, work), (state.typical_s, usual)):
         least_ms, most_ms = map(int, bounds.split("-"))
         assert least_ms <= took_s * 1000 <= most_ms, state
 
--- a/packages/core/src/knapweedbridge_core/serving/plain_choice.py
+++ b/packages/core/src/knapweedbridge_core/serving/plain_choice.py
@@ -87,7 +87,7 @@
         if each is endpoint or each.name in ask.tried:
             continue
         known = states.get(each.name)
-        if known is None or _work_s(ask, each, known.usual_s) < own_s:
+        if known is None or _work_s(ask, each, known.typical_s) < own_s:
             return False
     return True
 
--- a/packages/core/src/knapweedbridge_core/serving/plain_load.py
+++ b/packages/core/src/knapweedbridge_core/serving/plain_load.py
@@ -41,13 +41,13 @@
         Requests that run there, of all daemons.
     work_s : float
         How long a request that begins now is expected to take; 0.0: unknown.
-    usual_s : float
+    typical_s : float
         How long requests usually take there; 0.0: unknown.
     """
 
     running: int
     work_s: float = 0.0
-    usual_s: float = 0.0
+    typical_s: float = 0.0
 
 
 @dataclass(slots=True)
@@ -147,8 +147,8 @@
         if now_s - self._refused_s < REFUSED_LIFE_S:
             # Requests that were not counted run there too.
             running = max(running, self.slots)
-        usual_s = self._usual_s
-        return PlainState(running, self._work_s(usual_s), usual_s)
+        typical_s = self._usual_s
+        return PlainState(running, self._work_s(typical_s), typical_s)
 
     @property
     def _usual_s(self) -> float:
@@ -156,8 +156,8 @@
             return 0.0
         return self._usual.spent_s / self._usual.ended
 
-    def _work_s(self, usual_s: float) -> float:
-        if not usual_s:
+    def _work_s(self, typical_s: float) -> float:
+        if not typical_s:
             return 0.0
-        spent_s = self._spell.spent_s + USUAL_WEIGHT * usual_s
+        spent_s = self._spell.spent_s + USUAL_WEIGHT * typical_s
         return spent_s / (self._spell.ended + USUAL_WEIGHT)
--- a/packages/core/src/knapweedbridge_core/serving/plain_messages.py
+++ b/packages/core/src/knapweedbridge_core/serving/plain_messages.py
@@ -37,7 +37,7 @@
         As in the question.
     others_calls : int
         Requests there of all daemons but the one that asked.
-    work_s, usual_s : float
+    work_s, typical_s : float
         As in `PlainState`.
     """
 
@@ -45,7 +45,7 @@
     ticket: int
     others_calls: int
     work_s: float
-    usual_s: float
+    typical_s: float
 
 
 @message(tag="PlainRunning")
--- a/packages/daemon/src/knapweedbridge_daemon/serving/plain_asking.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/plain_asking.py
@@ -151,7 +151,7 @@
         endpoint, _ = question.asked.pop(message.ticket)
         calls = self._calls.get(endpoint.start, 0)
         running = message.others_calls + calls
-        state = PlainState(running, message.work_s, message.usual_s)
+        state = PlainState(running, message.work_s, message.typical_s)
         question.found[endpoint.name] = state
         self._known[endpoint.name] = Known(anyio.current_time(), state)
         self._hub.measures.count("plain_questions", "answered")
--- a/packages/daemon/src/knapweedbridge_daemon/serving/plain_counters.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/plain_counters.py
@@ -74,7 +74,7 @@
         state = counter.state(now_s, asker=daemon)
         self._hub.measures.count("plain_questions", "given")
         answer = PlainLoadResponse(
-            endpoint.name, message.ticket, state.running, state.work_s, state.usual_s
+            endpoint.name, message.ticket, state.running, state.work_s, state.typical_s
         )
         await self._send(daemon, answer)
 
--- a/packages/daemon/src/knapweedbridge_daemon/serving/plain_counting.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/plain_counting.py
@@ -112,7 +112,7 @@
     @staticmethod
     def _without_new(state: PlainState) -> PlainState:
         """Leave the request that is being placed out of an endpoint's count."""
-        return PlainState(state.running - 1, state.work_s, state.usual_s)
+        return PlainState(state.running - 1, state.work_s, state.typical_s)
 
     @staticmethod
     def _others(
@@ -143,7 +143,7 @@
             endpoint=chosen.name,
             instead_of=first.name,
             known={
-                name: [each.running, round(each.work_s, 4), round(each.usual_s, 4)]
+                name: [each.running, round(each.work_s, 4), round(each.typical_s, 4)]
                 for name, each in found.items()
             },
         )
--- a/packages/standins/src/knapweedbridge_standins/plain_pool/endpoints.py
+++ b/packages/standins/src/knapweedbridge_standins/plain_pool/endpoints.py
@@ -51,10 +51,10 @@
 
     def _pace_at(self, at_s: float) -> tuple[bool, float]:
         """Tell whether a moment is in a slow period, and until when that holds."""
-        usual_s = SLOW_S * (1 - SLOW_SHARE) / SLOW_SHARE
+        typical_s = SLOW_S * (1 - SLOW_SHARE) / SLOW_SHARE
         while not self._periods or self._periods[-1][1] <= at_s:
             ended_s = self._periods[-1][1] if self._periods else 0.0
-            begin_s = ended_s + self.rng.expovariate(1 / usual_s)
+            begin_s = ended_s + self.rng.expovariate(1 / typical_s)
             self._periods.append((begin_s, begin_s + SLOW_S))
         for begin_s, end_s in reversed(self._periods):
             if begin_s <= at_s < end_s:
--- a/packages/standins/src/knapweedbridge_standins/plain_pool/ways.py
+++ b/packages/standins/src/knapweedbridge_standins/plain_pool/ways.py
@@ -83,12 +83,12 @@
         self, daemon: str, ask: PlainAsk, endpoints: list[Endpoint], now_s: float
     ) -> Chosen:
         """See `Way.choose`."""
-        usual_s = 0.25 * ask.objective_s
+        typical_s = 0.25 * ask.objective_s
 
         def cost(endpoint: Endpoint) -> float:
             known = self._learnt[daemon, endpoint.name]
             weight = known.weight * 0.5 ** ((now_s - known.seen_s) / LEARNT_HALF_LIFE_S)
-            took_s = (known.took_s * weight + usual_s) / (weight + 1.0)
+            took_s = (known.took_s * weight + typical_s) / (weight + 1.0)
             remote = endpoint.record.data_centre != ask.data_centre
             full = FULL_CALLS * (now_s < known.full_until_s)
             calls = endpoint.own_calls + full
