--- a/packages/core/src/knapweedbridge_core/serving/cluster_state.py
+++ b/packages/core/src/knapweedbridge_core/serving/cluster_state.py
@@ -271,7 +271,7 @@
             case EndpointNamed(record):
                 return self._take_endpoint(record, now_s)
             case EndpointUnreadable(endpoint):
-                return self.fleet.unusable(endpoint)
+                return self.fleet.mark_unreadable(endpoint)
             case EndpointGone(endpoint):
                 self.fleet.unlisted(endpoint, now_s, lapsed_until_s)
         return True
--- a/packages/core/src/knapweedbridge_core/serving/fleet.py
+++ b/packages/core/src/knapweedbridge_core/serving/fleet.py
@@ -134,7 +134,7 @@
         found, self._restarted = self._restarted, []
         return found
 
-    def unusable(self, name: str) -> bool:
+    def mark_unreadable(self, name: str) -> bool:
         """Take that an endpoint's entry cannot be read; tell whether that is new.
 
         Another writer may have overwritten it. It gets no new work until its own next
