--- a/packages/core/src/knapweedbridge_core/serving/engine_teller.py
+++ b/packages/core/src/knapweedbridge_core/serving/engine_teller.py
@@ -76,7 +76,7 @@
         """Take that a daemon missed a telling."""
         self._lost.add(daemon)
 
-    def held_changed(self) -> None:
+    def mark_adapters_changed(self) -> None:
         """Take that the engine holds something else than was told."""
         self._held_changed = True
 
--- a/packages/daemon/src/knapweedbridge_daemon/serving/engine_owning.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/engine_owning.py
@@ -168,7 +168,7 @@
     def missed(self, model: ModelRef) -> None:
         """Take that the engine does not hold what it should."""
         self.keeper.missed(model, anyio.current_time())
-        self._teller.held_changed()
+        self._teller.mark_adapters_changed()
         self._work.set()
 
     async def run(self) -> None:
@@ -281,7 +281,7 @@
         if self._is_of_another_start(report):
             return
         self.keeper.reported(report, anyio.current_time())
-        self._teller.held_changed()
+        self._teller.mark_adapters_changed()
 
     def _is_of_another_start(self, report: EngineReport) -> bool:
         """Tell whether a report is of another start of the engine than is known.
@@ -332,7 +332,7 @@
             # Only the time of a load depends on them.
             self._count_others()
         self.keeper.answered(order, answer, anyio.current_time())
-        self._teller.held_changed()
+        self._teller.mark_adapters_changed()
         if order.kind is OrderKind.LOAD and answer is not OrderAnswer.UNKNOWN:
             self._teller.record_load_ordered(order.model)
         hub.measures.count("orders", f"{order.kind.value}_{answer.value}")
--- a/packages/standins/src/knapweedbridge_standins/serving_load/owner.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_load/owner.py
@@ -118,7 +118,7 @@
     def missed(self, model: ModelRef) -> None:
         """Take that the engine refused a call."""
         self.keeper.missed(model, self._pool.clock.now_s)
-        self._teller.held_changed()
+        self._teller.mark_adapters_changed()
         self.work()
 
     def asked(self, daemon: str) -> None:
@@ -133,7 +133,7 @@
         if self.keeper.needs_report and now_s - self._reported_s >= REPORT_PAUSE_S:
             self._reported_s = now_s
             self.keeper.reported(self._pool.engines[self._name].report(), now_s)
-            self._teller.held_changed()
+            self._teller.mark_adapters_changed()
         if not self._ordering:
             order = self.keeper.next_order(now_s)
             if order is not None:
@@ -157,7 +157,7 @@
             each.coming(now_s) for each in fleet.engines() if each.name != self._name
         )
         self.keeper.answered(order, answer, now_s)
-        self._teller.held_changed()
+        self._teller.mark_adapters_changed()
         if order.kind is OrderKind.LOAD:
             self._teller.record_load_ordered(order.model)
         self._ordering = False
