--- a/packages/core/src/knapweedbridge_core/serving/__init__.py
+++ b/packages/core/src/knapweedbridge_core/serving/__init__.py
@@ -20,11 +20,6 @@
 )
 from knapweedbridge_core.serving.backpressure import Backpressure
 from knapweedbridge_core.serving.brittle import RejectionBudget
-from knapweedbridge_core.serving.call_marks import (
-    fingerprint,
-    refusal_publishers,
-    request_digest,
-)
 from knapweedbridge_core.serving.caller_wait import PendingRequest, UsualDeadlines
 from knapweedbridge_core.serving.cluster_state import ClusterState, StoreEvent
 from knapweedbridge_core.serving.crash_parts import PartLedger
@@ -53,6 +48,11 @@
 from knapweedbridge_core.serving.engine_rates import EngineRates, LearnedRates
 from knapweedbridge_core.serving.engine_speed import EngineSpeed
 from knapweedbridge_core.serving.engine_teller import AddressedUpdate, EngineUpdates
+from knapweedbridge_core.serving.fingerprinting import (
+    fingerprint,
+    refusal_publishers,
+    request_digest,
+)
 from knapweedbridge_core.serving.fleet import Fleet
 from knapweedbridge_core.serving.forwarders import Forwarders
 from knapweedbridge_core.serving.late_admission import LateAdmission
