--- a/features/serving/steps/late_news_steps.py
+++ b/features/serving/steps/late_news_steps.py
@@ -39,7 +39,7 @@
         self.hearer = next(
             record.name
             for record in RECORDS
-            if cluster.relays_heard(record.name, "d1")[:1] == self.relays[:1]
+            if cluster.relays_for(record.name, "d1")[:1] == self.relays[:1]
         )
         played = {*self.relays, *cluster.relays["d0"], self.hearer}
         self.pool = RelayPool(tasks, RECORDS, played)
--- a/packages/core/src/knapweedbridge_core/serving/cluster_state.py
+++ b/packages/core/src/knapweedbridge_core/serving/cluster_state.py
@@ -159,7 +159,7 @@
         if now_s >= self._large_until_s:
             self._large_until_s = -math.inf
 
-    def relays_heard(self, name: str, data_centre: str) -> list[str]:
+    def relays_for(self, name: str, data_centre: str) -> list[str]:
         """Name the relays that a daemon can hear, its own first.
 
         None where it follows the store itself: in a small pool, as a relay, and while
--- a/packages/daemon/src/knapweedbridge_daemon/serving/believing.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/believing.py
@@ -172,7 +172,7 @@
 
     def _relays(self) -> list[str]:
         identity = self._hub.identity
-        return self._hub.cluster.relays_heard(identity.name, identity.data_centre)
+        return self._hub.cluster.relays_for(identity.name, identity.data_centre)
 
     async def _listen(self, prefix: str) -> None:
         """Hear a relay; look at the store where its news may be too old.
--- a/packages/daemon/src/knapweedbridge_daemon/serving/store_marks.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/store_marks.py
@@ -39,7 +39,7 @@
     def _relays(self, now_s: float) -> list[str]:
         identity, cluster = self._hub.identity, self._hub.cluster
         age = self._hub.store_age
-        heard = cluster.relays_heard(identity.name, identity.data_centre)
+        heard = cluster.relays_for(identity.name, identity.data_centre)
         if not heard and age.is_cut_off(now_s):
             # A relay that the store turns away, or a daemon that believes itself not to
             # be listed. Hearing nobody, they served their callers, and those of hearers
