--- a/features/speeds/steps/learning_steps.py
+++ b/features/speeds/steps/learning_steps.py
@@ -128,7 +128,7 @@
 def told(context, least, most):
     teller = EngineUpdates(EndpointStart("e1", 0), 1, context.keeper)
     told = teller.tell(["h1"], False, NOW_S)
-    teller.calls_changed()
+    teller.mark_calls_changed()
     told += teller.tell(["h1"], False, NOW_S + 1)
     kinds = {type(each.message).__name__ for each in told}
     assert kinds == {"EngineTold", "EngineChanged"}, kinds
--- a/packages/core/src/knapweedbridge_core/serving/engine_teller.py
+++ b/packages/core/src/knapweedbridge_core/serving/engine_teller.py
@@ -80,7 +80,7 @@
         """Take that the engine holds something else than was told."""
         self._held_changed = True
 
-    def calls_changed(self) -> None:
+    def mark_calls_changed(self) -> None:
         """Take that other calls run on the engine than was told."""
         self._calls_changed = True
 
--- a/packages/daemon/src/knapweedbridge_daemon/serving/engine_owning.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/engine_owning.py
@@ -148,7 +148,7 @@
         self.turns.saw_pause(message.pause_s)
         self._speeds.take(daemon, message, now_s)
         self.keeper.calls_running(daemon, found, message.unread_tokens, now_s)
-        self._teller.calls_changed()
+        self._teller.mark_calls_changed()
         self._note_calls()
 
     def _note_calls(self) -> None:
@@ -162,7 +162,7 @@
     def forget_daemon(self, daemon: str) -> None:
         """Drop the calls of a daemon that is gone."""
         self.keeper.forget_daemon(daemon)
-        self._teller.calls_changed()
+        self._teller.mark_calls_changed()
         self._work.set()
 
     def missed(self, model: ModelRef) -> None:
--- a/packages/standins/src/knapweedbridge_standins/serving_load/owner.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_load/owner.py
@@ -104,7 +104,7 @@
         """Take a daemon's calls."""
         now_s = self._pool.clock.now_s
         self.keeper.calls_running(daemon, calls, unread, now_s)
-        self._teller.calls_changed()
+        self._teller.mark_calls_changed()
         self.work()
 
     def observed(
