--- a/packages/core/src/knapweedbridge_core/serving/crash_parts.py
+++ b/packages/core/src/knapweedbridge_core/serving/crash_parts.py
@@ -11,7 +11,7 @@
 from collections import OrderedDict, defaultdict
 from collections.abc import Callable, Iterable, Sequence
 
-from knapweedbridge_core.serving.loss_moments import count_losses
+from knapweedbridge_core.serving.loss_counting import count_losses
 from knapweedbridge_core.serving.suspect_parts import (
     LONGEST_LAPSE_S,
     LOSSES_REFUSED,
--- a/packages/core/src/knapweedbridge_core/serving/crashes.py
+++ b/packages/core/src/knapweedbridge_core/serving/crashes.py
@@ -28,7 +28,7 @@
 )
 from knapweedbridge_core.serving.endpoint_records import EndpointStart
 from knapweedbridge_core.serving.fingerprinting import SEPARATOR, request_digest
-from knapweedbridge_core.serving.loss_moments import MOMENT_S, count_losses
+from knapweedbridge_core.serving.loss_counting import MOMENT_S, count_losses
 from knapweedbridge_core.serving.suspect_parts import LostCall, parts_refused
 
 LAPSE_S = 60.0
