--- a/bench/mutants_serving.py
+++ b/bench/mutants_serving.py
@@ -170,7 +170,7 @@
     ),
     "a relay that the store turns away hears nobody": (
         "who knows of it in time",
-        [(ClusterState, "substitutes", lambda self, name, data_centre: [])],
+        [(ClusterState, "fallback_relays", lambda self, name, data_centre: [])],
     ),
     "a keeper forgets what it gave": (
         "what an account uses",
--- a/packages/core/src/knapweedbridge_core/serving/cluster_state.py
+++ b/packages/core/src/knapweedbridge_core/serving/cluster_state.py
@@ -171,7 +171,7 @@
         own = choose(name, able)
         return sorted(able, key=lambda relay: relay != own)
 
-    def substitutes(self, name: str, data_centre: str) -> list[str]:
+    def fallback_relays(self, name: str, data_centre: str) -> list[str]:
         """Name the relays to hear for one that follows a store that does not answer it.
 
         The others of its data centre, and one elsewhere: a store that turns a third of
--- a/packages/daemon/src/knapweedbridge_daemon/serving/store_marks.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/store_marks.py
@@ -44,5 +44,5 @@
             # A relay that the store turns away, or a daemon that believes itself not to
             # be listed. Hearing nobody, they served their callers, and those of hearers
             # that were turned away as well, by an old configuration.
-            return cluster.substitutes(identity.name, identity.data_centre)
+            return cluster.fallback_relays(identity.name, identity.data_centre)
         return age.relays_to_mark(heard, now_s)
