--- a/packages/core/src/knapweedbridge_core/serving/engine_teller.py
+++ b/packages/core/src/knapweedbridge_core/serving/engine_teller.py
@@ -8,7 +8,7 @@
 from knapweedbridge_core.serving.messages import EngineChanged, EngineTold
 from knapweedbridge_core.serving.model_ref import ModelRef
 
-TELL_LOAD_S = 0.02
+LOAD_UPDATE_INTERVAL_S = 0.02
 """Pause between tellings where only the calls changed: they steer the balance among
 engines, and a prompt takes some 50 ms."""
 
@@ -96,7 +96,7 @@
     def _pause_s(self, small: bool) -> float:
         if not small:
             return TELL_FAR_S
-        return 0.0 if self._held_changed else TELL_LOAD_S
+        return 0.0 if self._held_changed else LOAD_UPDATE_INTERVAL_S
 
     def tell(
         self, subscribers: Iterable[str], small: bool, now_s: float
--- a/packages/daemon/src/knapweedbridge_daemon/serving/engine_owning.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/engine_owning.py
@@ -17,7 +17,10 @@
     OrderKind,
     parse_model,
 )
-from knapweedbridge_core.serving.engine_teller import TELL_LOAD_S, TELL_STILL_S
+from knapweedbridge_core.serving.engine_teller import (
+    LOAD_UPDATE_INTERVAL_S,
+    TELL_STILL_S,
+)
 from knapweedbridge_core.serving.messages import (
     OwnerAck,
     OwnershipClaimed,
@@ -235,7 +238,7 @@
         if self.keeper.needs_report:
             pause_s = REPORT_PAUSE_S
         elif self.keeper.wants:
-            pause_s = TELL_LOAD_S if self._teller.has_news else 0.05
+            pause_s = LOAD_UPDATE_INTERVAL_S if self._teller.has_news else 0.05
         if self._teller.has_news:
             pause_s = min(pause_s, self._teller.due_s(small) + TIMER_S - now_s)
         return max(LEAST_PAUSE_S, pause_s)
--- a/packages/standins/src/knapweedbridge_standins/serving_load/owner.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_load/owner.py
@@ -17,7 +17,10 @@
     SpeedReports,
     WindowPacing,
 )
-from knapweedbridge_core.serving.engine_teller import TELL_LOAD_S, TELL_STILL_S
+from knapweedbridge_core.serving.engine_teller import (
+    LOAD_UPDATE_INTERVAL_S,
+    TELL_STILL_S,
+)
 from knapweedbridge_daemon.serving.engine_owning import REPORT_PAUSE_S
 from knapweedbridge_standins.serving_load.call import WAY_S
 
@@ -169,7 +172,9 @@
         busy = self.keeper.wants or self._teller.has_news or self.keeper.needs_report
         if busy or not self._pool.small:
             self._woken = True
-            self._pool.clock.after(TELL_LOAD_S if busy else TELL_STILL_S, self._wake)
+            self._pool.clock.after(
+                LOAD_UPDATE_INTERVAL_S if busy else TELL_STILL_S, self._wake
+            )
 
     def _wake(self) -> None:
         self._woken = False
