--- a/packages/core/src/knapweedbridge_core/serving/__init__.py
+++ b/packages/core/src/knapweedbridge_core/serving/__init__.py
@@ -34,7 +34,6 @@
     Service,
     WeightedService,
 )
-from knapweedbridge_core.serving.endings import LossEvidence, loss_id
 from knapweedbridge_core.serving.endpoint import Endpoint
 from knapweedbridge_core.serving.endpoint_paths import EndpointPaths
 from knapweedbridge_core.serving.endpoint_records import EndpointRecord, EndpointStart
@@ -55,6 +54,7 @@
 )
 from knapweedbridge_core.serving.fleet import Fleet
 from knapweedbridge_core.serving.forwarders import Forwarders
+from knapweedbridge_core.serving.incomplete_calls import LossEvidence, loss_id
 from knapweedbridge_core.serving.late_admission import LateAdmission
 from knapweedbridge_core.serving.load_times import LoadTimes
 from knapweedbridge_core.serving.memory_budget import HeldKind, MemoryBudget
--- a/packages/core/src/knapweedbridge_core/serving/crashes.py
+++ b/packages/core/src/knapweedbridge_core/serving/crashes.py
@@ -19,15 +19,15 @@
     SETTLE_S,
     PartLedger,
 )
-from knapweedbridge_core.serving.endings import (
+from knapweedbridge_core.serving.endpoint_records import EndpointStart
+from knapweedbridge_core.serving.fingerprinting import SEPARATOR, request_digest
+from knapweedbridge_core.serving.incomplete_calls import (
     LOSS_PROOF_TIMEOUT_S,
     VERDICT_TIMEOUT_S,
     IncompleteCall,
     LossEvidence,
     loss_id,
 )
-from knapweedbridge_core.serving.endpoint_records import EndpointStart
-from knapweedbridge_core.serving.fingerprinting import SEPARATOR, request_digest
 from knapweedbridge_core.serving.loss_counting import MOMENT_S, count_losses
 from knapweedbridge_core.serving.suspect_parts import LostCall, parts_refused
 
