--- a/features/serving/steps/relay_steps.py
+++ b/features/serving/steps/relay_steps.py
@@ -255,7 +255,7 @@
 
 def follow_for_a_second(context, is_told):
     async def story():
-        context.follower._hub.store_age.proved(anyio.current_time())
+        context.follower._hub.store_age.confirm(anyio.current_time())
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(context.follower.run)
             for _ in range(6):
--- a/features/serving/steps/store_age_steps.py
+++ b/features/serving/steps/store_age_steps.py
@@ -37,7 +37,7 @@
 def proved_at(context, moments):
     context.age = StoreAge()
     for moment_s in moments_of(moments):
-        context.age.proved(moment_s)
+        context.age.confirm(moment_s)
 
 
 @given("a daemon that has proved what it knows at ")
--- a/packages/core/src/knapweedbridge_core/serving/store_age.py
+++ b/packages/core/src/knapweedbridge_core/serving/store_age.py
@@ -32,7 +32,7 @@
         self._looked_s = float("-inf")
         self._relays: dict[str, float] = {}
 
-    def proved(self, moment_s: float, relay: str = "") -> bool:
+    def confirm(self, moment_s: float, relay: str = "") -> bool:
         """Take that all that the store had acknowledged by a moment is known.
 
         Parameters
--- a/packages/daemon/src/knapweedbridge_daemon/serving/believing.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/believing.py
@@ -109,7 +109,7 @@
         if not self._revision or message.since > self._revision:
             return self._revision
         known_s = self._hub.store_age.known_s
-        if message.mark_s and self._hub.store_age.proved(message.mark_s, relay):
+        if message.mark_s and self._hub.store_age.confirm(message.mark_s, relay):
             self._hub.outage.answered(anyio.current_time())
         if message.revision:
             self._note_era(era_of(message.revision))
--- a/packages/daemon/src/knapweedbridge_daemon/serving/store_calls.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/store_calls.py
@@ -39,7 +39,7 @@
 
     def answered(self, began_s: float) -> None:
         """Note the answer of a call that began at a moment of the steady clock."""
-        self._hub.store_age.proved(began_s)
+        self._hub.store_age.confirm(began_s)
         self._hub.outage.answered(anyio.current_time())
         if self._failures:
             self._hub.log.info("store.regained", failures=self._failures)
