--- a/packages/core/src/knapweedbridge_core/serving/engine_teller.py
+++ b/packages/core/src/knapweedbridge_core/serving/engine_teller.py
@@ -17,7 +17,7 @@
 centre, and by them to all daemons. Each of those sends a small part of the calls; one
 that waits for an adapter is told at once that it is on its way."""
 
-TELL_STILL_S = 1.0
+IDLE_UPDATE_INTERVAL_S = 1.0
 """Pause after which relays are told even if nothing changed: an engine that is not
 heard of for `endpoint.UPDATE_MAX_AGE_S` is taken to have no owner that tells."""
 
@@ -114,7 +114,7 @@
         self._relays = set() if small else set(subscribers)
         since_s = now_s - self._told_s
         news_due = self.has_news and since_s >= self._pause_s(small)
-        still_due = not small and since_s >= TELL_STILL_S
+        still_due = not small and since_s >= IDLE_UPDATE_INTERVAL_S
         if news_due or still_due:
             return self._tell_changes(set(subscribers), now_s)
         return self.take_requested(now_s)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/engine_owning.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/engine_owning.py
@@ -18,8 +18,8 @@
     parse_model,
 )
 from knapweedbridge_core.serving.engine_teller import (
+    IDLE_UPDATE_INTERVAL_S,
     LOAD_UPDATE_INTERVAL_S,
-    TELL_STILL_S,
 )
 from knapweedbridge_core.serving.messages import (
     OwnerAck,
@@ -234,7 +234,7 @@
     def _pause_s(self, now_s: float) -> float:
         """Return when to look again at what is due by time alone, in seconds."""
         small = self._hub.cluster.is_small_pool
-        pause_s = WORK_S if small else TELL_STILL_S
+        pause_s = WORK_S if small else IDLE_UPDATE_INTERVAL_S
         if self.keeper.needs_report:
             pause_s = REPORT_PAUSE_S
         elif self.keeper.wants:
--- a/packages/standins/src/knapweedbridge_standins/serving_load/owner.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_load/owner.py
@@ -18,8 +18,8 @@
     WindowPacing,
 )
 from knapweedbridge_core.serving.engine_teller import (
+    IDLE_UPDATE_INTERVAL_S,
     LOAD_UPDATE_INTERVAL_S,
-    TELL_STILL_S,
 )
 from knapweedbridge_daemon.serving.engine_owning import REPORT_PAUSE_S
 from knapweedbridge_standins.serving_load.call import WAY_S
@@ -173,7 +173,7 @@
         if busy or not self._pool.small:
             self._woken = True
             self._pool.clock.after(
-                LOAD_UPDATE_INTERVAL_S if busy else TELL_STILL_S, self._wake
+                LOAD_UPDATE_INTERVAL_S if busy else IDLE_UPDATE_INTERVAL_S, self._wake
             )
 
     def _wake(self) -> None:
