--- a/packages/core/src/knapweedbridge_core/serving/__init__.py
+++ b/packages/core/src/knapweedbridge_core/serving/__init__.py
@@ -108,7 +108,7 @@
 )
 from knapweedbridge_core.serving.prompt_parts import shared_parts
 from knapweedbridge_core.serving.protocols import PROTOCOL, understands
-from knapweedbridge_core.serving.quota_purse import QuotaBalance, nearest_first
+from knapweedbridge_core.serving.quota_balance import QuotaBalance, nearest_first
 from knapweedbridge_core.serving.quotas import (
     QuotaBucket,
     QuotaGrant,
