--- a/packages/core/src/knapweedbridge_core/serving/engine_rates.py
+++ b/packages/core/src/knapweedbridge_core/serving/engine_rates.py
@@ -9,7 +9,7 @@
 
 from knapweedbridge_core.serving.endpoint import Endpoint
 from knapweedbridge_core.serving.engine_speed import speed_factor
-from knapweedbridge_core.serving.first_event_fit import OUTLIER, FirstEventFit
+from knapweedbridge_core.serving.first_event_fit import OUTLIER_RATIO, FirstEventFit
 from knapweedbridge_core.serving.prompt_pacing import turn_wait_s
 
 HOLD_PRIOR_S = 1.2
@@ -207,7 +207,7 @@
         service = endpoint.record.service
         gap_s /= speed_factor(endpoint.speed)
         known_s = self._usual_gap_s.get(service, gap_s)
-        gap_s = min(gap_s, OUTLIER * known_s)
+        gap_s = min(gap_s, OUTLIER_RATIO * known_s)
         self._usual_gap_s[service] = known_s + GAP_STEP * (gap_s - known_s)
 
     def saw_first_event(
--- a/packages/core/src/knapweedbridge_core/serving/first_event_fit.py
+++ b/packages/core/src/knapweedbridge_core/serving/first_event_fit.py
@@ -27,7 +27,7 @@
 """Weight of the priors, renewed with each call: a third of what a call weighs, so that
 a direction in which calls do not differ stays sane."""
 
-OUTLIER = 3.0
+OUTLIER_RATIO = 3.0
 """Times its forecast from which on a time counts no further: a lost packet or a frozen
 host would else be taken for a slow engine."""
 
@@ -67,7 +67,9 @@
     def saw(self, prompt_tokens: int, unread_tokens: int, took_s: float) -> None:
         """Take one call's time."""
         self.calls += 1
-        took_s = min(took_s, OUTLIER * self.forecast_s(prompt_tokens, unread_tokens))
+        took_s = min(
+            took_s, OUTLIER_RATIO * self.forecast_s(prompt_tokens, unread_tokens)
+        )
         row = (1.0, prompt_tokens / THOUSAND, unread_tokens / THOUSAND)
         for i in range(3):
             prior = PRIOR_WEIGHT * _PRIORS[i]
