--- a/packages/core/src/knapweedbridge_core/serving/messages.py
+++ b/packages/core/src/knapweedbridge_core/serving/messages.py
@@ -6,7 +6,7 @@
 
 
 @message(tag="AdapterWanted")
-class AdapterRequest:
+class AdapterLoadRequest:
     """A daemon asks an engine's owner to load an adapter.
 
     Parameters
--- a/packages/daemon/src/knapweedbridge_daemon/serving/engine_owners.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/engine_owners.py
@@ -5,8 +5,8 @@
 
 from knapweedbridge_core.serving import ModelRef
 from knapweedbridge_core.serving.messages import (
+    AdapterLoadRequest,
     AdapterMissed,
-    AdapterRequest,
     EngineSnapshotRequest,
     OwnershipClaimed,
     OwnershipReleased,
@@ -24,7 +24,7 @@
 from knapweedbridge_daemon.serving.permits import Permits
 
 ToOwner = (
-    AdapterRequest
+    AdapterLoadRequest
     | AdapterMissed
     | RunningCallsReport
     | EngineSnapshotRequest
@@ -127,7 +127,7 @@
         if isinstance(message, OwnershipReleased):
             owner.predecessor_ended(daemon, message.number)
             return
-        if isinstance(message, AdapterRequest):
+        if isinstance(message, AdapterLoadRequest):
             model = ModelRef(message.base, message.adapter)
             owner.wanted(daemon, model, message.version)
         elif isinstance(message, TurnRequest):
--- a/packages/daemon/src/knapweedbridge_daemon/serving/placing.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/placing.py
@@ -24,7 +24,7 @@
     WaitFor,
     exclude_limited,
 )
-from knapweedbridge_core.serving.messages import AdapterRequest
+from knapweedbridge_core.serving.messages import AdapterLoadRequest
 from knapweedbridge_core.serving.placement_choices import Choice
 from knapweedbridge_daemon.serving.admission_records import AdmissionRecords
 from knapweedbridge_daemon.serving.call import Call, Target
@@ -258,7 +258,9 @@
         )
         if endpoint.owner:
             endpoint.record_owner_request(anyio.current_time())
-            wanted = AdapterRequest(endpoint.name, model.base, model.adapter, version)
+            wanted = AdapterLoadRequest(
+                endpoint.name, model.base, model.adapter, version
+            )
             await self._link.send(endpoint.owner, wanted)
 
     async def _place_plain(self, call: Call) -> Target | Refusal:
