--- a/packages/core/src/knapweedbridge_core/serving/__init__.py
+++ b/packages/core/src/knapweedbridge_core/serving/__init__.py
@@ -19,7 +19,6 @@
     resumes,
 )
 from knapweedbridge_core.serving.backpressure import Backpressure
-from knapweedbridge_core.serving.brittle import RejectionBudget
 from knapweedbridge_core.serving.caller_wait import PendingRequest, UsualDeadlines
 from knapweedbridge_core.serving.cluster_state import ClusterState, StoreEvent
 from knapweedbridge_core.serving.crash_parts import PartLedger
@@ -117,6 +116,7 @@
     keepers,
     split,
 )
+from knapweedbridge_core.serving.rejection_budget import RejectionBudget
 from knapweedbridge_core.serving.retry_budget import RetryBudget
 from knapweedbridge_core.serving.software_versions import SoftwareVersions
 from knapweedbridge_core.serving.speed_reports import SpeedReports
