--- a/features/load/steps/pacing_steps.py
+++ b/features/load/steps/pacing_steps.py
@@ -271,7 +271,7 @@
     for _ in range(5):
         plan = context.times.plan(n, 6, NOW_S)
         if plan.at_once:
-            context.times.trial_held(plan.at_once)
+            context.times.record_trial_success(plan.at_once)
 
 
 @then("{n:d} loads at once are forecast to take {s:g} s")
--- a/packages/core/src/knapweedbridge_core/serving/engine_keeper.py
+++ b/packages/core/src/knapweedbridge_core/serving/engine_keeper.py
@@ -166,7 +166,7 @@
 
     def _note_trial(self, place: Place, users: int, now_s: float) -> None:
         if place.tried_at_once and users and now_s >= place.ready_s + TRIAL_SEEN_S:
-            self.times.trial_held(place.tried_at_once)
+            self.times.record_trial_success(place.tried_at_once)
             place.tried_at_once = 0.0
 
     def forget_silent(self, now_s: float) -> None:
--- a/packages/core/src/knapweedbridge_core/serving/load_times.py
+++ b/packages/core/src/knapweedbridge_core/serving/load_times.py
@@ -99,7 +99,7 @@
         tried = known * TRIAL
         return LoadPlan(self.cold_s * max(1.0, coming / tried), min(coming, tried))
 
-    def trial_held(self, at_once: float) -> None:
+    def record_trial_success(self, at_once: float) -> None:
         """Take that as many loads were served at full speed, here or elsewhere."""
         self.at_once = max(self.at_once, at_once)
 
--- a/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
@@ -186,7 +186,7 @@
     def _take_told(self, message: EngineTold, now_s: float) -> bool:
         """Take all that is told of an engine; False where that is outdated."""
         self._hub.load_times.told(message.cold_s)
-        self._hub.load_times.trial_held(message.loads_at_once)
+        self._hub.load_times.record_trial_success(message.loads_at_once)
         known = self._hub.cluster.fleet.endpoints.get(message.endpoint)
         before = known.update_number if known else 0
         endpoint = self._hub.cluster.fleet.apply_snapshot(message, now_s)
