--- a/features/prompt_parts/steps/ledger_steps.py
+++ b/features/prompt_parts/steps/ledger_steps.py
@@ -13,7 +13,7 @@
     refusal_key,
     refusal_publishers,
 )
-from knapweedbridge_core.serving.crash_parts import MAX_CALLS_PER_LOSS, MOST_SUSPECTS
+from knapweedbridge_core.serving.part_ledger import MAX_CALLS_PER_LOSS, MOST_SUSPECTS
 from knapweedbridge_daemon.serving.blame_notifier import BlameNotifier
 
 NOW_S = 1000.0
--- a/packages/core/src/knapweedbridge_core/serving/__init__.py
+++ b/packages/core/src/knapweedbridge_core/serving/__init__.py
@@ -21,7 +21,6 @@
 from knapweedbridge_core.serving.backpressure import Backpressure
 from knapweedbridge_core.serving.caller_wait import PendingRequest, UsualDeadlines
 from knapweedbridge_core.serving.cluster_state import ClusterState, StoreEvent
-from knapweedbridge_core.serving.crash_parts import PartLedger
 from knapweedbridge_core.serving.crashes import CrashLedger
 from knapweedbridge_core.serving.deployment import (
     BaseModel,
@@ -77,6 +76,7 @@
     claimants,
     may_claim,
 )
+from knapweedbridge_core.serving.part_ledger import PartLedger
 from knapweedbridge_core.serving.permits import (
     PermitBucket,
     exclude_limited,
--- a/packages/core/src/knapweedbridge_core/serving/crashes.py
+++ b/packages/core/src/knapweedbridge_core/serving/crashes.py
@@ -14,11 +14,6 @@
 from itertools import takewhile
 
 from knapweedbridge_core.blame import LOSSES_REFUSED, Blame, Verdict
-from knapweedbridge_core.serving.crash_parts import (
-    MAX_CALLS_PER_LOSS,
-    SETTLE_S,
-    PartLedger,
-)
 from knapweedbridge_core.serving.endpoint_records import EndpointStart
 from knapweedbridge_core.serving.fingerprinting import SEPARATOR, request_digest
 from knapweedbridge_core.serving.incomplete_calls import (
@@ -29,6 +24,11 @@
     loss_id,
 )
 from knapweedbridge_core.serving.loss_counting import MOMENT_S, count_losses
+from knapweedbridge_core.serving.part_ledger import (
+    MAX_CALLS_PER_LOSS,
+    SETTLE_S,
+    PartLedger,
+)
 from knapweedbridge_core.serving.suspect_parts import LostCall, parts_refused
 
 LAPSE_S = 60.0
