--- a/features/load/steps/pacing_steps.py
+++ b/features/load/steps/pacing_steps.py
@@ -283,6 +283,6 @@
 def trial_ends(context, at_once):
     times = LoadTimes()
     assert times.plan(14, 6, NOW_S).at_once > at_once
-    times.trial_failed(NOW_S)
+    times.record_trial_failure(NOW_S)
     assert times.plan(14, 6, NOW_S + TRIAL_PAUSE_S - 0.1).at_once == 0
     assert times.load_s(14, 6) == 0.25 * 14 / at_once
--- a/packages/core/src/knapweedbridge_core/serving/engine_keeper.py
+++ b/packages/core/src/knapweedbridge_core/serving/engine_keeper.py
@@ -339,7 +339,7 @@
         if place is None:
             return
         if place.tried_at_once:
-            self.times.trial_failed(now_s)
+            self.times.record_trial_failure(now_s)
             place.tried_at_once = 0.0
         if place.fetched_s is not None:
             self.times.took_longer(now_s - place.fetched_s)
--- a/packages/core/src/knapweedbridge_core/serving/load_times.py
+++ b/packages/core/src/knapweedbridge_core/serving/load_times.py
@@ -103,7 +103,7 @@
         """Take that as many loads were served at full speed, here or elsewhere."""
         self.at_once = max(self.at_once, at_once)
 
-    def trial_failed(self, now_s: float) -> None:
+    def record_trial_failure(self, now_s: float) -> None:
         """Take that a load that was tried took longer."""
         self._no_trial_until_s = now_s + TRIAL_PAUSE_S
 
