--- a/features/accounts/steps/keeper_steps.py
+++ b/features/accounts/steps/keeper_steps.py
@@ -51,7 +51,7 @@
         self.name_accounts(version, (self._account,))
 
     def renew(self):
-        self.hub.lease.renewed(1e9, LEASE_S)
+        self.hub.lease.record_renewal(1e9, LEASE_S)
 
     async def _send(self, daemon, message):
         peer = self._peers[daemon]
--- a/features/serving/steps/belief_steps.py
+++ b/features/serving/steps/belief_steps.py
@@ -101,9 +101,9 @@
 
 
 @when("a lease of {ttl:g} s was renewed {ago:g} s ago")
-def renewed(context, ttl, ago):
+def record_renewal(context, ttl, ago):
     clock = LeaseClock()
-    clock.renewed(NOW_S - ago, ttl)
+    clock.record_renewal(NOW_S - ago, ttl)
     context.may = clock.may_order(NOW_S)
 
 
--- a/packages/core/src/knapweedbridge_core/serving/ownership.py
+++ b/packages/core/src/knapweedbridge_core/serving/ownership.py
@@ -93,7 +93,7 @@
 
     ends_s: float = 0.0
 
-    def renewed(self, sent_s: float, ttl_s: float) -> None:
+    def record_renewal(self, sent_s: float, ttl_s: float) -> None:
         """Take that a renewal sent at a time was accepted."""
         # The store counts from the call's arrival, which is after its sending.
         self.ends_s = max(self.ends_s, sent_s + ttl_s)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/lease_keeping.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/lease_keeping.py
@@ -119,7 +119,7 @@
             self._require_era()
             if not left_s:
                 raise LeaseGoneError("the lease has ended")
-            self._hub.lease.renewed(sent_s, left_s)
+            self._hub.lease.record_renewal(sent_s, left_s)
             if self._is_recorded():
                 return
             # The record's writing got no answer, or the store took the keys away
@@ -128,7 +128,7 @@
         revision = await self._put_record()
         if self._hub.lease_revision == sys.maxsize:
             self._hub.lease_revision = revision
-        self._hub.lease.renewed(sent_s, self._lease_s)
+        self._hub.lease.record_renewal(sent_s, self._lease_s)
 
     def _is_recorded(self) -> bool:
         identity = self._hub.identity
--- a/packages/standins/src/knapweedbridge_standins/serving_histories/owners.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_histories/owners.py
@@ -81,7 +81,7 @@
         daemon.lease_from = store.revision
     # The call is on its way for a while: the store counts from its arrival.
     store.lease_ends_s[daemon.name] = now_s + luck.uniform(0, 0.1) + LEASE_S
-    daemon.lease.renewed(now_s, LEASE_S)
+    daemon.lease.record_renewal(now_s, LEASE_S)
 
 
 def _claim(daemon: _Daemon, store: _Store, all_: list[_Daemon], now_s: float) -> None:
