--- a/packages/core/src/knapweedbridge_core/serving/engine_keeper.py
+++ b/packages/core/src/knapweedbridge_core/serving/engine_keeper.py
@@ -342,7 +342,7 @@
             self.times.record_trial_failure(now_s)
             place.tried_at_once = 0.0
         if place.fetched_s is not None:
-            self.times.took_longer(now_s - place.fetched_s)
+            self.times.record_slow_load(now_s - place.fetched_s)
         if place.ready_s > now_s:
             return
         # From when it was expected at first: each miss puts ``ready_s`` off, and an
--- a/packages/core/src/knapweedbridge_core/serving/load_times.py
+++ b/packages/core/src/knapweedbridge_core/serving/load_times.py
@@ -107,7 +107,7 @@
         """Take that a load that was tried took longer."""
         self._no_trial_until_s = now_s + TRIAL_PAUSE_S
 
-    def took_longer(self, waited_s: float) -> None:
+    def record_slow_load(self, waited_s: float) -> None:
         """Take that a load was not done after some seconds."""
         self.told(waited_s + LEARN_STEP_S)
 
