--- a/features/accounts/steps/keeper_steps.py
+++ b/features/accounts/steps/keeper_steps.py
@@ -75,7 +75,7 @@
         await anyio.sleep(5)
         keeper.hear()
     elif state == "has no lease for 0.2 s":
-        keeper.hub.lease.lost()
+        keeper.hub.lease.record_loss()
         await anyio.sleep(0.2)
         keeper.renew()
 
--- a/packages/core/src/knapweedbridge_core/serving/ownership.py
+++ b/packages/core/src/knapweedbridge_core/serving/ownership.py
@@ -98,7 +98,7 @@
         # The store counts from the call's arrival, which is after its sending.
         self.ends_s = max(self.ends_s, sent_s + ttl_s)
 
-    def lost(self) -> None:
+    def record_loss(self) -> None:
         """Take that the lease is gone."""
         self.ends_s = 0.0
 
--- a/packages/daemon/src/knapweedbridge_daemon/serving/hub.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/hub.py
@@ -159,7 +159,7 @@
         if self.synced:
             self.log.error("store.came_back_older", era=era, before=self.store_era)
             self.measures.count("store_eras")
-            self.lease.lost()
+            self.lease.record_loss()
             self.lease_revision = sys.maxsize
             self.outage.came_back_older(anyio.current_time())
         self.store_era = era
--- a/packages/daemon/src/knapweedbridge_daemon/serving/lease_keeping.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/lease_keeping.py
@@ -160,7 +160,7 @@
     def _lose(self) -> None:
         self._hub.log.error("lease.lost", lease=self._lease)
         self._lease = ""
-        self._hub.lease.lost()
+        self._hub.lease.record_loss()
         self._hub.lease_revision = sys.maxsize
         self._hub.beliefs_changed.tell()
 
@@ -301,7 +301,7 @@
             for endpoint, record in hub.cluster.owners.items()
             if record.owner == hub.identity.name
         }
-        hub.lease.lost()
+        hub.lease.record_loss()
         if not self._lease:
             return
         # An order that is on its way must arrive before the successor's first.
