--- a/features/speeds/steps/using_steps.py
+++ b/features/speeds/steps/using_steps.py
@@ -156,7 +156,7 @@
 def engines_of(context, speeds):
     publish(context, [1.0, 1.0, *(float(each) for each in speeds.split())])
     context.rates = LearnedRates()
-    context.rates.accept_pauses({"llm": 0.3})
+    context.rates.set_accepted_gaps({"llm": 0.3})
     for number in range(40):
         engine = context.engines[0]
         context.rates.saw_first_event(engine, 1460, 0, 0.12, NOW_S + number)
--- a/packages/core/src/knapweedbridge_core/serving/engine_rates.py
+++ b/packages/core/src/knapweedbridge_core/serving/engine_rates.py
@@ -55,7 +55,7 @@
         """
 
     @abstractmethod
-    def accept_pauses(self, longest_s: dict[str, float]) -> None:
+    def set_accepted_gaps(self, longest_s: dict[str, float]) -> None:
         """Take the longest pause that streams accept, by service, in seconds."""
 
     @abstractmethod
@@ -151,8 +151,8 @@
         read_s *= slowness(endpoint, now_s) * speed_factor(endpoint.speed)
         return turn_s + read_s + self.slot_wait_s(endpoint)
 
-    def accept_pauses(self, longest_s: dict[str, float]) -> None:
-        """See `EngineRates.accept_pauses`."""
+    def set_accepted_gaps(self, longest_s: dict[str, float]) -> None:
+        """See `EngineRates.set_accepted_gaps`."""
         self._gap_s = longest_s
 
     def hold_s(self, service: str) -> float:
--- a/packages/daemon/src/knapweedbridge_daemon/serving/believing.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/believing.py
@@ -328,7 +328,7 @@
             case VersionNamed(model):
                 hub.patience.named(model)
             case DeploymentNamed(deployment):
-                hub.rates.accept_pauses(deployment.longest_pauses_s())
+                hub.rates.set_accepted_gaps(deployment.longest_pauses_s())
 
     def _is_leaving(self, endpoint: str) -> bool:
         known = self._hub.cluster.fleet.endpoints.get(endpoint)
--- a/packages/standins/src/knapweedbridge_standins/serving_load/pool.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_load/pool.py
@@ -61,7 +61,7 @@
         self._counted_from_s = 0.0
         self.rates = getattr(policy, "rates", None) or LearnedRates()
         if paced:
-            self.rates.accept_pauses({"llm": site.gap_s})
+            self.rates.set_accepted_gaps({"llm": site.gap_s})
         self.clock = VirtualClock()
         self.figures = Figures()
         self._load = load
@@ -119,7 +119,7 @@
             return self.policy, self.rates
         rates = LearnedRates()
         if self._paced:
-            rates.accept_pauses({"llm": self.site.gap_s})
+            rates.set_accepted_gaps({"llm": self.site.gap_s})
         return LeastCostPlacement(rates), rates
 
     def make_pacer(self, rates: EngineRates) -> PromptPacer:
