--- a/features/paths/steps/decision_steps.py
+++ b/features/paths/steps/decision_steps.py
@@ -40,7 +40,7 @@
 def knows_daemons(context):
     context.host = Host()
     daemons = [DaemonRecord(f"h{n}", 1, "a", "d", n == 8) for n in range(10)]
-    context.host.forwarders.know(daemons, {"h9"})
+    context.host.forwarders.set_daemons(daemons, {"h9"})
 
 
 @when("these come: {events}")
--- a/features/paths/steps/tunnel_steps.py
+++ b/features/paths/steps/tunnel_steps.py
@@ -290,7 +290,7 @@
     context.carried, context.asked = Counter(), {}
     askers = {name: Forwarders(name) for name in context.without}
     for asker in askers.values():
-        asker.know(context.daemons, context.without)
+        asker.set_daemons(context.daemons, context.without)
     for _ in range(40):
         for name, asker in askers.items():
             order = asker.in_order(0.0)
--- a/packages/core/src/knapweedbridge_core/serving/forwarders.py
+++ b/packages/core/src/knapweedbridge_core/serving/forwarders.py
@@ -45,7 +45,9 @@
         self._carries: dict[str, int] = {}
         self._refusals: dict[str, Refusals] = {}
 
-    def know(self, daemons: Iterable[DaemonRecord], without_links: set[str]) -> None:
+    def set_daemons(
+        self, daemons: Iterable[DaemonRecord], without_links: set[str]
+    ) -> None:
         """Take which daemons are there, and which of them have lost their links."""
         able = [
             each.name
--- a/packages/daemon/src/knapweedbridge_daemon/serving/tunnels.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/tunnels.py
@@ -214,7 +214,9 @@
         cluster = self._hub.cluster
         if self._known_of != cluster.owner_changes:
             self._known_of = cluster.owner_changes
-            self._forwarders.know(cluster.daemons.values(), cluster.without_links)
+            self._forwarders.set_daemons(
+                cluster.daemons.values(), cluster.without_links
+            )
         return self._forwarders
 
     async def open(self, destination: Destination) -> TunnelStream:
