--- a/features/speeds/steps/learning_steps.py
+++ b/features/speeds/steps/learning_steps.py
@@ -109,7 +109,7 @@
     context.rates, endpoint = LearnedRates(), make_endpoint()
     for number in range(100):
         context.rates.saw_first_event(endpoint, 1000, 0, s, NOW_S + number)
-        context.rates.saw_gap(endpoint, gap)
+        context.rates.record_gap(endpoint, gap)
     context.keeper = EngineController(EngineLimits(12, 10**6, 8, 1e5, 10.0))
     context.reports = SpeedReports(context.rates, "llm", context.keeper.speed)
 
@@ -144,7 +144,7 @@
     for number in range(firsts):
         context.observed.saw_first_event(context.start, number, 0, 0.1)
     for _ in range(gaps):
-        context.observed.saw_gap(context.start, s)
+        context.observed.record_gap(context.start, s)
 
 
 @then(
@@ -172,7 +172,7 @@
     rates = LearnedRates()
     for number in range(100):
         rates.saw_first_event(endpoint, 1000, 0, 0.1, NOW_S + number)
-        rates.saw_gap(endpoint, 0.05)
+        rates.record_gap(endpoint, 0.05)
     log = SimpleNamespace(info=lambda kind, **fields: lines.append((kind, fields)))
     return SimpleNamespace(
         cluster=SimpleNamespace(fleet=fleet, is_small_pool=False),
--- a/features/speeds/steps/using_steps.py
+++ b/features/speeds/steps/using_steps.py
@@ -160,7 +160,7 @@
     for number in range(40):
         engine = context.engines[0]
         context.rates.saw_first_event(engine, 1460, 0, 0.12, NOW_S + number)
-        context.rates.saw_gap(engine, 0.05)
+        context.rates.record_gap(engine, 0.05)
     for each in context.engines:
         each.slowness, each.owner = 1.0, "h1"
 
--- a/packages/core/src/knapweedbridge_core/serving/engine_rates.py
+++ b/packages/core/src/knapweedbridge_core/serving/engine_rates.py
@@ -93,7 +93,7 @@
         """Return the mean length of prompts; 0.0: unknown."""
 
     @abstractmethod
-    def saw_gap(self, endpoint: Endpoint, gap_s: float) -> None:
+    def record_gap(self, endpoint: Endpoint, gap_s: float) -> None:
         """Take a pause between two events of a stream."""
 
     @abstractmethod
@@ -202,8 +202,8 @@
         """See `EngineRates.usual_prompt_tokens`."""
         return self._prompt_tokens.get(service, 0.0)
 
-    def saw_gap(self, endpoint: Endpoint, gap_s: float) -> None:
-        """See `EngineRates.saw_gap`."""
+    def record_gap(self, endpoint: Endpoint, gap_s: float) -> None:
+        """See `EngineRates.record_gap`."""
         service = endpoint.record.service
         gap_s /= speed_factor(endpoint.speed)
         known_s = self._usual_gap_s.get(service, gap_s)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/engine_observations.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/engine_observations.py
@@ -35,7 +35,7 @@
             del first_events[0]
         first_events.append([prompt_tokens, unread_tokens, took_s])
 
-    def saw_gap(self, start: EndpointStart, gap_s: float) -> None:
+    def record_gap(self, start: EndpointStart, gap_s: float) -> None:
         """Take a pause between two events of a stream."""
         seen = self._of(start)
         seen.gaps += 1
--- a/packages/daemon/src/knapweedbridge_daemon/serving/running_calls.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/running_calls.py
@@ -83,7 +83,7 @@
 
     def paused(self, endpoint: Endpoint, pause_s: float) -> None:
         """Take the time between two events of a stream that runs there."""
-        self.observed.saw_gap(endpoint.start, pause_s)
+        self.observed.record_gap(endpoint.start, pause_s)
         longest_s = self._pauses_s.get(endpoint.start, 0.0)
         if pause_s > longest_s:
             self._pauses_s[endpoint.start] = pause_s
--- a/packages/standins/src/knapweedbridge_standins/serving_load/attempt.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_load/attempt.py
@@ -76,8 +76,8 @@
 
     def _pause(self, pause_s: float) -> None:
         self._pool.figures.pauses_s.append(pause_s)
-        self._rates.saw_gap(self._endpoint, pause_s)
-        self._daemon.observed.saw_gap(self._endpoint.start, pause_s)
+        self._rates.record_gap(self._endpoint, pause_s)
+        self._daemon.observed.record_gap(self._endpoint.start, pause_s)
         if pause_s > self._call.longest_pause_s:
             self._call.longest_pause_s = pause_s
             owner = self._pool.owners[self._endpoint.name]
