--- a/packages/core/src/knapweedbridge_core/serving/messages.py
+++ b/packages/core/src/knapweedbridge_core/serving/messages.py
@@ -25,8 +25,8 @@
     version: int
 
 
-@message
-class AdapterMissed:
+@message(tag="AdapterMissed")
+class AdapterMissing:
     """An engine refused a call, as it does not hold the adapter that it should."""
 
     endpoint: str
--- a/packages/daemon/src/knapweedbridge_daemon/serving/attempting.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/attempting.py
@@ -8,7 +8,7 @@
     first_byte_timeout_s,
     resumes,
 )
-from knapweedbridge_core.serving.messages import AdapterMissed
+from knapweedbridge_core.serving.messages import AdapterMissing
 from knapweedbridge_daemon.serving.attempt_records import (
     AttemptRecords,
     Forecast,
@@ -247,7 +247,7 @@
         else:
             # The load is not done yet: a fetch elsewhere would take longer.
             endpoint.held[model].ready_s = now_s + NOT_READY_S
-            missed = AdapterMissed(endpoint.name, model.base, model.adapter)
+            missed = AdapterMissing(endpoint.name, model.base, model.adapter)
             await self._link.send(endpoint.owner, missed)
 
     def _note_events(
--- a/packages/daemon/src/knapweedbridge_daemon/serving/engine_owners.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/engine_owners.py
@@ -6,7 +6,7 @@
 from knapweedbridge_core.serving import ModelRef
 from knapweedbridge_core.serving.messages import (
     AdapterLoadRequest,
-    AdapterMissed,
+    AdapterMissing,
     EngineSnapshotRequest,
     OwnershipClaimed,
     OwnershipReleased,
@@ -25,7 +25,7 @@
 
 ToOwner = (
     AdapterLoadRequest
-    | AdapterMissed
+    | AdapterMissing
     | RunningCallsReport
     | EngineSnapshotRequest
     | TurnRequest
@@ -134,7 +134,7 @@
             await owner.turns.asked(daemon, message)
         elif isinstance(message, EngineSnapshotRequest):
             await owner.request_snapshot(daemon)
-        elif isinstance(message, AdapterMissed):
+        elif isinstance(message, AdapterMissing):
             owner.missed(ModelRef(message.base, message.adapter))
         else:
             owner.calls_running(daemon, message)
