--- a/features/speeds/steps/learning_steps.py
+++ b/features/speeds/steps/learning_steps.py
@@ -25,7 +25,7 @@
 
 def see(speed, daemon, times, at_s):
     speed.saw_first_event(daemon, times, at_s)
-    speed.saw_gaps(daemon, times, 20, at_s)
+    speed.record_gaps(daemon, times, 20, at_s)
 
 
 @when(
--- a/packages/core/src/knapweedbridge_core/serving/engine_speed.py
+++ b/packages/core/src/knapweedbridge_core/serving/engine_speed.py
@@ -87,7 +87,7 @@
         """Take the time to a first event, in times of the usual engine's forecast."""
         self._see(daemon, times, 1.0, now_s)
 
-    def saw_gaps(self, daemon: str, times: float, count: int, now_s: float) -> None:
+    def record_gaps(self, daemon: str, times: float, count: int, now_s: float) -> None:
         """Take a mean pause between events, in times of the usual.
 
         Parameters
--- a/packages/core/src/knapweedbridge_core/serving/speed_reports.py
+++ b/packages/core/src/knapweedbridge_core/serving/speed_reports.py
@@ -51,4 +51,4 @@
         usual_s = self._rates.usual_gap_s(self._service)
         if usual_s:
             times = gaps[1] / gaps[0] / usual_s
-            self._speed.saw_gaps(daemon, times, int(gaps[0]), now_s)
+            self._speed.record_gaps(daemon, times, int(gaps[0]), now_s)
