--- a/features/serving/steps/late_news_steps.py
+++ b/features/serving/steps/late_news_steps.py
@@ -259,7 +259,7 @@
 @then(
     "the endpoint is still leaving once the answer has come, at revision {revision:d}"
 )
-def still_leaving(context, revision):
+def keep_leaving(context, revision):
     assert context.daemon.knows_leaving("e1")
     assert context.daemon.follower._revision == revision
 
--- a/packages/core/src/knapweedbridge_core/serving/fleet.py
+++ b/packages/core/src/knapweedbridge_core/serving/fleet.py
@@ -84,7 +84,7 @@
         found, self._replaced = self._replaced, []
         return found
 
-    def still_leaving(self, record: EndpointRecord) -> EndpointRecord:
+    def keep_leaving(self, record: EndpointRecord) -> EndpointRecord:
         """Return a record of an older copy of the list, with a leaving that was heard.
 
         The copy tells what the endpoint said before. Taken for new, it got calls again
--- a/packages/daemon/src/knapweedbridge_daemon/serving/believing.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/believing.py
@@ -351,7 +351,7 @@
         now_s = anyio.current_time()
         if isinstance(store_event, EndpointNamed) and now_s < self._settled_s:
             store_event = EndpointNamed(
-                hub.cluster.fleet.still_leaving(store_event.record)
+                hub.cluster.fleet.keep_leaving(store_event.record)
             )
         changed = hub.cluster.take(
             store_event, now_s, hub.outage.lapsed_until_s, known_s
