--- a/packages/core/src/knapweedbridge_core/serving/engine_rates.py
+++ b/packages/core/src/knapweedbridge_core/serving/engine_rates.py
@@ -116,7 +116,7 @@
         """
 
     @abstractmethod
-    def saw_end(self, endpoint: Endpoint, took_s: float) -> None:
+    def record_end(self, endpoint: Endpoint, took_s: float) -> None:
         """Take how long a call that was answered held its slot."""
 
 
@@ -236,8 +236,8 @@
         endpoint.slowness = slow + SLOW_STEP * (_within(times) - slow)
         endpoint.slowness_s = now_s
 
-    def saw_end(self, endpoint: Endpoint, took_s: float) -> None:
-        """See `EngineRates.saw_end`."""
+    def record_end(self, endpoint: Endpoint, took_s: float) -> None:
+        """See `EngineRates.record_end`."""
         service = endpoint.record.service
         took_s /= speed_factor(endpoint.speed)
         known_s = self.hold_s(service)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/attempt_records.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/attempt_records.py
@@ -137,7 +137,7 @@
         if call.details.model is None or not is_sent:
             return
         if end is AttemptEnd.ANSWERED:
-            self._hub.rates.saw_end(endpoint, now_s - forecast.began_s)
+            self._hub.rates.record_end(endpoint, now_s - forecast.began_s)
         first_s = forecast.first_s
         if first_s is None and end is AttemptEnd.BROKEN:
             # It did not come for as long: a lower bound, and the best that is known.
--- a/packages/standins/src/knapweedbridge_standins/serving_load/attempt.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_load/attempt.py
@@ -71,7 +71,7 @@
     def _end(self) -> None:
         took_s = self._pool.clock.now_s - self._sent_s
         self._daemon.left(self._call, self._endpoint)
-        self._rates.saw_end(self._endpoint, took_s)
+        self._rates.record_end(self._endpoint, took_s)
         self._pool.ended(self._call)
 
     def _pause(self, pause_s: float) -> None:
