--- a/features/serving/steps/pool_size_steps.py
+++ b/features/serving/steps/pool_size_steps.py
@@ -46,7 +46,7 @@
     for n in range(endpoints):
         record = EndpointRecord(f"e{n}", "llm", "a", "d0", 8, False)
         context.cluster.take(EndpointNamed(record), NOW_S)
-    context.cluster.note_time(NOW_S)
+    context.cluster.update_clock(NOW_S)
 
 
 @then("the pool counts as {size}, and {count:d} of d0 are relays")
@@ -92,7 +92,7 @@
 @given("{daemons:d} daemons and {endpoints:d} endpoints listed at a daemon's start")
 def listed_at_start(context, daemons, endpoints):
     context.cluster = ClusterState()
-    context.cluster.note_time(NOW_S)
+    context.cluster.update_clock(NOW_S)
     for n in range(daemons):
         record = DaemonRecord(f"h{n}", 1, "a", "d0")
         context.cluster.take(DaemonNamed(record), NOW_S)
@@ -103,5 +103,5 @@
 
 @then("{seconds:g} s after its start the pool counts as {size}")
 def counts_after_start(context, seconds, size):
-    context.cluster.note_time(NOW_S + seconds)
+    context.cluster.update_clock(NOW_S + seconds)
     assert context.cluster.is_small_pool == (size == "small")
--- a/packages/core/src/knapweedbridge_core/serving/cluster_state.py
+++ b/packages/core/src/knapweedbridge_core/serving/cluster_state.py
@@ -152,7 +152,7 @@
         endpoints = self.fleet.endpoints if self._starting else ()
         return not was_large and is_small(self.daemons, endpoints)
 
-    def note_time(self, now_s: float) -> None:
+    def update_clock(self, now_s: float) -> None:
         """Take the time: a pool that was large long ago counts as small again."""
         self._first_s = min(self._first_s, now_s)
         self._starting = now_s < self._first_s + STARTING_S
--- a/packages/daemon/src/knapweedbridge_daemon/serving/believing.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/believing.py
@@ -160,7 +160,7 @@
     def _note_pool(self) -> None:
         """Note whether all daemons hear all, which also changes by time alone."""
         cluster = self._hub.cluster
-        cluster.note_time(anyio.current_time())
+        cluster.update_clock(anyio.current_time())
         if cluster.is_small_pool != self._small:
             self._small = cluster.is_small_pool
             self._hub.log.info(
--- a/packages/standins/src/knapweedbridge_standins/serving_histories/stream_origins.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_histories/stream_origins.py
@@ -227,7 +227,7 @@
             self.read_items += 1
         for store_event in _listed(news) if is_first else news:
             self.cluster.take(store_event, now_s)
-        self.cluster.note_time(now_s)
+        self.cluster.update_clock(now_s)
         self.known_s = max(self.known_s, up_to_s)
         await self.resuming.refresh()
         self._record_versions(now_s)
