--- a/features/load/steps/pacing_steps.py
+++ b/features/load/steps/pacing_steps.py
@@ -214,7 +214,7 @@
 def see(context, engine, now_s, times=1.0, late_s=0.0):
     tokens, unread = context.luck.randrange(100, 4000), context.luck.randrange(3000)
     took_s = times * takes_s(context, tokens, unread) + late_s
-    context.rates.saw_first_event(engine, tokens, unread, took_s, now_s)
+    context.rates.record_first_event(engine, tokens, unread, took_s, now_s)
 
 
 @when("{calls:d} calls were seen, one in ten of them {stray}")
--- a/features/speeds/steps/learning_steps.py
+++ b/features/speeds/steps/learning_steps.py
@@ -24,7 +24,7 @@
 
 
 def see(speed, daemon, times, at_s):
-    speed.saw_first_event(daemon, times, at_s)
+    speed.record_first_event(daemon, times, at_s)
     speed.record_gaps(daemon, times, 20, at_s)
 
 
@@ -86,7 +86,7 @@
     context.speed.begin_at(published)
     assert context.speed.speed == published
     for daemon in ("h1", "h2"):
-        context.speed.saw_first_event(daemon, times, NOW_S)
+        context.speed.record_first_event(daemon, times, NOW_S)
 
 
 def make_endpoint():
@@ -98,7 +98,7 @@
 def uncertain_owner(context, calls, s):
     rates, context.speed = LearnedRates(), EngineSpeed()
     for _ in range(calls):
-        rates.saw_first_event(make_endpoint(), 1000, 0, 0.1, NOW_S)
+        rates.record_first_event(make_endpoint(), 1000, 0, 0.1, NOW_S)
     reports = SpeedReports(rates, "llm", context.speed)
     for number in range(20):
         reports.take(f"h{number}", [[1000, 0, s]], [10.0, 10 * s], NOW_S)
@@ -108,7 +108,7 @@
 def owner(context, s, gap):
     context.rates, endpoint = LearnedRates(), make_endpoint()
     for number in range(100):
-        context.rates.saw_first_event(endpoint, 1000, 0, s, NOW_S + number)
+        context.rates.record_first_event(endpoint, 1000, 0, s, NOW_S + number)
         context.rates.record_gap(endpoint, gap)
     context.keeper = EngineController(EngineLimits(12, 10**6, 8, 1e5, 10.0))
     context.reports = SpeedReports(context.rates, "llm", context.keeper.speed)
@@ -142,7 +142,7 @@
 def observed(context, firsts, gaps, s):
     context.observed, context.start = EngineObservations(), EndpointStart("e1", 1)
     for number in range(firsts):
-        context.observed.saw_first_event(context.start, number, 0, 0.1)
+        context.observed.record_first_event(context.start, number, 0, 0.1)
     for _ in range(gaps):
         context.observed.record_gap(context.start, s)
 
@@ -171,7 +171,7 @@
     endpoint.owner = "h1"
     rates = LearnedRates()
     for number in range(100):
-        rates.saw_first_event(endpoint, 1000, 0, 0.1, NOW_S + number)
+        rates.record_first_event(endpoint, 1000, 0, 0.1, NOW_S + number)
         rates.record_gap(endpoint, 0.05)
     log = SimpleNamespace(info=lambda kind, **fields: lines.append((kind, fields)))
     return SimpleNamespace(
@@ -193,7 +193,7 @@
     endpoint = hub.cluster.fleet.endpoints["e1"]
     running = RunningCalls(hub, send)
     for _ in range(4):
-        running.observed.saw_first_event(endpoint.start, 1000, 0, s)
+        running.observed.record_first_event(endpoint.start, 1000, 0, s)
     for _ in range(40):
         running.paused(endpoint, gap)
     async with anyio.create_task_group() as tasks:
--- a/features/speeds/steps/using_steps.py
+++ b/features/speeds/steps/using_steps.py
@@ -141,7 +141,7 @@
     for number in range(calls):
         tokens = 500 + 37 * number % 1500
         took_s = times * context.rates.first_event_s(context.engines[0], tokens, NOW_S)
-        context.rates.saw_first_event(
+        context.rates.record_first_event(
             context.engines[-1], tokens, 0, took_s, NOW_S + number
         )
 
@@ -159,7 +159,7 @@
     context.rates.set_accepted_gaps({"llm": 0.3})
     for number in range(40):
         engine = context.engines[0]
-        context.rates.saw_first_event(engine, 1460, 0, 0.12, NOW_S + number)
+        context.rates.record_first_event(engine, 1460, 0, 0.12, NOW_S + number)
         context.rates.record_gap(engine, 0.05)
     for each in context.engines:
         each.slowness, each.owner = 1.0, "h1"
--- a/packages/core/src/knapweedbridge_core/serving/engine_rates.py
+++ b/packages/core/src/knapweedbridge_core/serving/engine_rates.py
@@ -97,7 +97,7 @@
         """Take a pause between two events of a stream."""
 
     @abstractmethod
-    def saw_first_event(
+    def record_first_event(
         self,
         endpoint: Endpoint,
         prompt_tokens: int,
@@ -210,7 +210,7 @@
         gap_s = min(gap_s, OUTLIER_RATIO * known_s)
         self._usual_gap_s[service] = known_s + GAP_STEP * (gap_s - known_s)
 
-    def saw_first_event(
+    def record_first_event(
         self,
         endpoint: Endpoint,
         prompt_tokens: int,
@@ -218,7 +218,7 @@
         took_s: float,
         now_s: float,
     ) -> None:
-        """See `EngineRates.saw_first_event`."""
+        """See `EngineRates.record_first_event`."""
         fit = self._fit(endpoint.record.service)
         service = endpoint.record.service
         took_s /= speed_factor(endpoint.speed)
--- a/packages/core/src/knapweedbridge_core/serving/engine_speed.py
+++ b/packages/core/src/knapweedbridge_core/serving/engine_speed.py
@@ -83,7 +83,7 @@
         self._speed = min(SPEED_MOST, max(SPEED_LEAST, published))
         self._before = math.log(self._speed)
 
-    def saw_first_event(self, daemon: str, times: float, now_s: float) -> None:
+    def record_first_event(self, daemon: str, times: float, now_s: float) -> None:
         """Take the time to a first event, in times of the usual engine's forecast."""
         self._see(daemon, times, 1.0, now_s)
 
--- a/packages/core/src/knapweedbridge_core/serving/speed_reports.py
+++ b/packages/core/src/knapweedbridge_core/serving/speed_reports.py
@@ -45,7 +45,7 @@
                 self._service, prompt_tokens, unread_tokens
             )
             if usual_s is not None:
-                self._speed.saw_first_event(daemon, took_s / usual_s, now_s)
+                self._speed.record_first_event(daemon, took_s / usual_s, now_s)
         if not gaps or not math.isfinite(gaps[0]) or gaps[0] < 1:
             return
         usual_s = self._rates.usual_gap_s(self._service)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/attempt_records.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/attempt_records.py
@@ -121,7 +121,7 @@
         if forecast.first_s is None or forecast.slot_wait_s:
             return
         if call.details.model is not None:
-            self._observed.saw_first_event(
+            self._observed.record_first_event(
                 endpoint.start,
                 call.details.prompt_tokens,
                 forecast.unread_tokens,
@@ -145,7 +145,7 @@
         if first_s is None or forecast.slot_wait_s:
             return
         took_s = first_s - forecast.sent_s
-        self._hub.rates.saw_first_event(
+        self._hub.rates.record_first_event(
             endpoint, call.details.prompt_tokens, forecast.unread_tokens, took_s, now_s
         )
         self._hub.measures.time(
--- a/packages/daemon/src/knapweedbridge_daemon/serving/engine_observations.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/engine_observations.py
@@ -19,7 +19,7 @@
     def __init__(self) -> None:
         self._seen: dict[EndpointStart, _Seen] = {}
 
-    def saw_first_event(
+    def record_first_event(
         self,
         start: EndpointStart,
         prompt_tokens: int,
--- a/packages/standins/src/knapweedbridge_standins/serving_load/attempt.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_load/attempt.py
@@ -59,10 +59,10 @@
         self._pool.figures.forecast_errors_s.append(error_s)
         if not self._slot_wait_s:
             took_s = now_s - self._sent_s
-            self._rates.saw_first_event(
+            self._rates.record_first_event(
                 self._endpoint, call.prompt_tokens, self.unread, took_s, now_s
             )
-            self._daemon.observed.saw_first_event(
+            self._daemon.observed.record_first_event(
                 self._endpoint.start, call.prompt_tokens, self.unread, took_s
             )
         self._daemon.read(call, self._endpoint)
