--- a/features/paths/steps/decision_steps.py
+++ b/features/paths/steps/decision_steps.py
@@ -26,7 +26,7 @@
             "refuses": lambda: self.forwarders.note_refused(who, self.now_s),
         }
         if what.startswith("carries"):
-            self.forwarders.note_opened(who, int(what.split()[1]))
+            self.forwarders.record_opened(who, int(what.split()[1]))
         else:
             done[what]()
 
--- a/features/paths/steps/tunnel_steps.py
+++ b/features/paths/steps/tunnel_steps.py
@@ -296,7 +296,7 @@
             order = asker.in_order(0.0)
             context.asked[name] = len(order)
             context.carried[order[0]] += 1
-            asker.note_opened(order[0], context.carried[order[0]])
+            asker.record_opened(order[0], context.carried[order[0]])
 
 
 @then("no host carries more than three times the mean of those that have links")
--- a/packages/core/src/knapweedbridge_core/serving/forwarders.py
+++ b/packages/core/src/knapweedbridge_core/serving/forwarders.py
@@ -90,7 +90,7 @@
         refusals = self._refusals.get(name)
         return refusals.until_s if refusals else -math.inf
 
-    def note_opened(self, name: str, connections: int) -> None:
+    def record_opened(self, name: str, connections: int) -> None:
         """Record how many connections a host carries, with the one just opened."""
         self._carries[name] = connections
         self._refusals.pop(name, None)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/tunnels.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/tunnels.py
@@ -260,7 +260,7 @@
             race.failed("")
             return
         if isinstance(answer, TunnelOpened):
-            self._forwarders.note_opened(name, answer.tunnels)
+            self._forwarders.record_opened(name, answer.tunnels)
             self._hub.measures.count("tunnels", "opened")
             race.opened(stream)
             return
