--- a/packages/core/src/knapweedbridge_core/serving/engine_speed.py
+++ b/packages/core/src/knapweedbridge_core/serving/engine_speed.py
@@ -130,7 +130,7 @@
         log_times = self._before + share * (_median(pairs) - self._before)
         return math.exp(log_times)
 
-    def is_slow_spell(self, now_s: float) -> bool:
+    def is_in_slow_period(self, now_s: float) -> bool:
         """Tell whether the engine is in a slow period now."""
         return self.spell_times(now_s) > 1.0
 
--- a/packages/daemon/src/knapweedbridge_daemon/serving/engine_speeds.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/engine_speeds.py
@@ -62,6 +62,6 @@
         self._logged = speed
 
     def _count_spell(self, now_s: float) -> None:
-        before, self._in_spell = self._in_spell, self._speed.is_slow_spell(now_s)
+        before, self._in_spell = self._in_spell, self._speed.is_in_slow_period(now_s)
         if self._in_spell and not before:
             self._hub.measures.count("engine_slow_spells")
