--- a/features/paths/steps/decision_steps.py
+++ b/features/paths/steps/decision_steps.py
@@ -23,7 +23,7 @@
             "fail": lambda: self.paths.record_other_failures(2),
             "is left": lambda: self.paths.record_other_failures(0),
             "go": lambda: self.paths.keep_only(set()),
-            "refuses": lambda: self.forwarders.note_refused(who, self.now_s),
+            "refuses": lambda: self.forwarders.record_refused(who, self.now_s),
         }
         if what.startswith("carries"):
             self.forwarders.record_opened(who, int(what.split()[1]))
--- a/packages/core/src/knapweedbridge_core/serving/forwarders.py
+++ b/packages/core/src/knapweedbridge_core/serving/forwarders.py
@@ -95,7 +95,7 @@
         self._carries[name] = connections
         self._refusals.pop(name, None)
 
-    def note_refused(self, name: str, now_s: float) -> None:
+    def record_refused(self, name: str, now_s: float) -> None:
         """Record that a host refused, or did not answer."""
         self._carries.pop(name, None)
         known = self._refusals.get(name)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/tunnels.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/tunnels.py
@@ -270,7 +270,7 @@
         race.failed(answer.reason)
 
     def _note_refused(self, name: str, destination: Destination, cause: str) -> None:
-        self._forwarders.note_refused(name, loop_time_s())
+        self._forwarders.record_refused(name, loop_time_s())
         self._hub.measures.count("tunnels", "refused")
         self._hub.log.info(
             "tunnel.refused",
