--- a/features/speeds/steps/learning_steps.py
+++ b/features/speeds/steps/learning_steps.py
@@ -75,7 +75,7 @@
 @then("it {is_or_not} in a slow period")
 def in_spell(context, is_or_not):
     found = context.speed.is_in_slow_period(context.now_s)
-    assert found == (is_or_not == "is"), context.speed.spell_times(context.now_s)
+    assert found == (is_or_not == "is"), context.speed.slow_period_ratio(context.now_s)
 
 
 @when(
--- a/packages/core/src/knapweedbridge_core/serving/engine_speed.py
+++ b/packages/core/src/knapweedbridge_core/serving/engine_speed.py
@@ -132,9 +132,9 @@
 
     def is_in_slow_period(self, now_s: float) -> bool:
         """Tell whether the engine is in a slow period now."""
-        return self.spell_times(now_s) > 1.0
+        return self.slow_period_ratio(now_s) > 1.0
 
-    def spell_times(self, now_s: float) -> float:
+    def slow_period_ratio(self, now_s: float) -> float:
         """Return by what a slow period makes the engine slower now; 1.0: by nothing.
 
         It is in times of the speed that was last read.
--- a/packages/daemon/src/knapweedbridge_daemon/serving/turn_giving.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/turn_giving.py
@@ -110,7 +110,7 @@
         """Put what daemons are told of the pace up to date."""
         if isinstance(self._pacer, WindowPacing):
             token_s = self._hub.rates.engine_token_s(self._endpoint)
-            self._pacer.token_s = token_s * self._speed.spell_times(now_s)
+            self._pacer.token_s = token_s * self._speed.slow_period_ratio(now_s)
             if not self._pacer.seen_scale:
                 paced = self._hub.cluster.fleet.paced
                 self._pacer.heard(paced.scales(self._endpoint, now_s))
--- a/packages/standins/src/knapweedbridge_standins/serving_load/owner.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_load/owner.py
@@ -73,7 +73,7 @@
         if isinstance(self._pacer, WindowPacing):
             engines = self._pool.daemons[self.daemon].fleet.endpoints
             token_s = self._rates.engine_token_s(engines[self._name])
-            times = self.keeper.speed.spell_times(self._pool.clock.now_s)
+            times = self.keeper.speed.slow_period_ratio(self._pool.clock.now_s)
             self._pacer.token_s = token_s * times
             others = (e.pace_scale for n, e in engines.items() if n != self._name)
             self._pacer.heard(others)
