--- a/features/serving/steps/late_news_steps.py
+++ b/features/serving/steps/late_news_steps.py
@@ -201,7 +201,7 @@
 
 
 @when("a hearer has missed what came after revision {known:d}")
-def has_missed(context, known):
+def has_gap_before(context, known):
     context.missed = context.log.after(known)
 
 
--- a/features/serving/steps/relay_steps.py
+++ b/features/serving/steps/relay_steps.py
@@ -319,7 +319,10 @@
 @when("change 6 comes, and change 5 after it")
 def changes_out_of_order(context):
     fleet = context.fleet
-    context.missed = [fleet.has_missed(changed(6)), fleet.has_missed(changed(5))]
+    context.missed = [
+        fleet.has_gap_before(changed(6)),
+        fleet.has_gap_before(changed(5)),
+    ]
     context.taken = [
         fleet.apply_update(changed(6), NOW_S),
         fleet.apply_snapshot(told(6, of_all=True), NOW_S) is not None,
--- a/packages/core/src/knapweedbridge_core/serving/fleet.py
+++ b/packages/core/src/knapweedbridge_core/serving/fleet.py
@@ -213,7 +213,7 @@
             speed=endpoint.published_speed,
         )
 
-    def has_missed(self, message: EngineChanged) -> bool:
+    def has_gap_before(self, message: EngineChanged) -> bool:
         """Tell whether something before a change was missed."""
         endpoint = self.endpoints.get(message.endpoint)
         if endpoint is None:
--- a/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
@@ -202,7 +202,7 @@
         fleet = self._hub.cluster.fleet
         if self._take_change(message, anyio.current_time()):
             self.relaying.engine_told(message)
-        elif fleet.has_missed(message):
+        elif fleet.has_gap_before(message):
             endpoint = fleet.endpoints[message.endpoint]
             if endpoint.owner:
                 await self._ask(endpoint, endpoint.owner, ASK_ALL_S)
@@ -236,7 +236,7 @@
             if isinstance(row, EngineTold):
                 self._take_told(row, now_s)
             elif not self._take_change(row, now_s):
-                missed = missed or self._hub.cluster.fleet.has_missed(row)
+                missed = missed or self._hub.cluster.fleet.has_gap_before(row)
         if missed:
             await self.ask_relay(relay)
 
--- a/packages/standins/src/knapweedbridge_standins/serving_load/daemon.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_load/daemon.py
@@ -80,7 +80,7 @@
             self.load_times.told(message.cold_s)
             self.fleet.apply_snapshot(message, now_s)
         elif not self.fleet.apply_update(message, now_s):
-            if not self.fleet.has_missed(message):
+            if not self.fleet.has_gap_before(message):
                 return
             ask = self.pool.owners[message.endpoint].asked
             self.pool.clock.after(WAY_S, lambda: ask(self.name))
