--- a/features/speeds/steps/learning_steps.py
+++ b/features/speeds/steps/learning_steps.py
@@ -83,7 +83,7 @@
 )
 def begins_at(context, published, times):
     context.speed = EngineSpeed()
-    context.speed.begin_at(published)
+    context.speed.set_prior(published)
     assert context.speed.speed == published
     for daemon in ("h1", "h2"):
         context.speed.record_first_event(daemon, times, NOW_S)
--- a/packages/core/src/knapweedbridge_core/serving/engine_speed.py
+++ b/packages/core/src/knapweedbridge_core/serving/engine_speed.py
@@ -78,7 +78,7 @@
         self._speed = UNKNOWN
         self._is_stale = False
 
-    def begin_at(self, published: float) -> None:
+    def set_prior(self, published: float) -> None:
         """Begin at what the owner before published."""
         self._speed = min(SPEED_MOST, max(SPEED_LEAST, published))
         self._before = math.log(self._speed)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/engine_speeds.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/engine_speeds.py
@@ -30,7 +30,7 @@
         self._speed = keeper.speed
         self._learns = hub.cluster.fleet.speeds.enabled
         if self._learns and endpoint.published_speed:
-            self._speed.begin_at(endpoint.published_speed)
+            self._speed.set_prior(endpoint.published_speed)
         service = endpoint.record.service
         self._reports = SpeedReports(hub.rates, service, keeper.speed)
         self._logged = endpoint.published_speed or 1.0
