--- a/packages/core/src/knapweedbridge_core/serving/fleet.py
+++ b/packages/core/src/knapweedbridge_core/serving/fleet.py
@@ -341,7 +341,7 @@
             and endpoint.accepts_work(now_s)
         ]
 
-    def opens_s(self, service: str, now_s: float) -> float | None:
+    def reopens_at_s(self, service: str, now_s: float) -> float | None:
         """Return when one may be sent a call, where all ask for a pause; else None."""
         endpoints = self.of_service(service, now_s)
         first_s = min(
--- a/packages/daemon/src/knapweedbridge_daemon/serving/placing.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/placing.py
@@ -190,16 +190,16 @@
         self, call: Call, until_s: float, now_s: float
     ) -> Refusal | None:
         """Refuse a call whose endpoints all ask for a pause that lasts too long."""
-        opens_s = self._hub.cluster.fleet.opens_s(call.service, now_s)
-        if opens_s is None or opens_s <= until_s:
+        reopens_at_s = self._hub.cluster.fleet.reopens_at_s(call.service, now_s)
+        if reopens_at_s is None or reopens_at_s <= until_s:
             return None
         self._hub.log.info(
             "call.closed_out",
             request=call.details.call_id,
             service=call.service,
-            opens_in_s=round(opens_s - now_s, 3),
+            opens_in_s=round(reopens_at_s - now_s, 3),
         )
-        after_s = opens_s - now_s + random.uniform(*CLOSED_AFTER_S)
+        after_s = reopens_at_s - now_s + random.uniform(*CLOSED_AFTER_S)
         return Refusal(503, "closed", after_s)
 
     def _is_unknown(self, engine: Endpoint, now_s: float) -> bool:
@@ -271,13 +271,13 @@
             endpoint = await self._choose_plain(call, now_s)
             if endpoint is not None:
                 return Target(endpoint, None)
-            opens_s = self._hub.cluster.fleet.opens_s(call.service, now_s)
-            if opens_s is None:
+            reopens_at_s = self._hub.cluster.fleet.reopens_at_s(call.service, now_s)
+            if reopens_at_s is None:
                 return Refusal(503, "no_endpoint", NO_ENDPOINT_AFTER_S)
             refusal = self._closed_beyond(call, until_s, now_s)
             if refusal is not None:
                 return refusal
-            await self._hub.engines_changed.wait(opens_s - now_s)
+            await self._hub.engines_changed.wait(reopens_at_s - now_s)
 
     async def _choose_plain(self, call: Call, now_s: float) -> Endpoint | None:
         ask = PlainAsk(
