--- a/features/load/steps/pacing_steps.py
+++ b/features/load/steps/pacing_steps.py
@@ -185,9 +185,9 @@
 def adopted(context):
     reading = 0.8 * context.pacer.gap_s / context.pacer.token_s
     assert context.pacer.budget_tokens == reading, context.pacer.budget_tokens
-    assert context.pacer.seen_scale == 0
+    assert context.pacer.measured_scale == 0
     paused(context, 0.3)
-    assert context.pacer.seen_scale == 1.0
+    assert context.pacer.measured_scale == 1.0
     context.pacer.heard([3.0])
     assert context.pacer.budget_tokens == reading, context.pacer.budget_tokens
 
--- a/packages/core/src/knapweedbridge_core/serving/prompt_pacing.py
+++ b/packages/core/src/knapweedbridge_core/serving/prompt_pacing.py
@@ -160,7 +160,7 @@
     pace_tokens : float
         Tokens that pass within the longest accepted pause there.
     pace_scale : float
-        See `WindowPacing.seen_scale`.
+        See `WindowPacing.measured_scale`.
     """
 
     pace_tokens: float = math.inf
@@ -334,7 +334,7 @@
             self._look(now_s)
 
     @property
-    def seen_scale(self) -> float:
+    def measured_scale(self) -> float:
         """The scale that pauses of its own streams have shown; 0: none has come."""
         return self._scale if self._shrunk_s > -math.inf else 0.0
 
@@ -343,7 +343,7 @@
 
         It counts while this one's own streams have shown none.
         """
-        if not self.seen_scale:
+        if not self.measured_scale:
             self._scale = min((each for each in scales if each), default=START_SCALE)
 
     def _shrink(self, pause_s: float, now_s: float) -> None:
--- a/packages/daemon/src/knapweedbridge_daemon/serving/turn_giving.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/turn_giving.py
@@ -111,10 +111,10 @@
         if isinstance(self._pacer, WindowPacing):
             token_s = self._hub.rates.engine_token_s(self._endpoint)
             self._pacer.token_s = token_s * self._speed.slow_period_ratio(now_s)
-            if not self._pacer.seen_scale:
+            if not self._pacer.measured_scale:
                 paced = self._hub.cluster.fleet.paced
                 self._pacer.heard(paced.scales(self._endpoint, now_s))
-            self._long_prompts.pace_scale = self._pacer.seen_scale
+            self._long_prompts.pace_scale = self._pacer.measured_scale
         self._long_prompts.pace_tokens = self._pacer.budget_tokens
 
     async def _give(self, now_s: float, asker: str = "") -> bool:
--- a/packages/standins/src/knapweedbridge_standins/serving_load/owner.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_load/owner.py
@@ -77,7 +77,7 @@
             self._pacer.token_s = token_s * times
             others = (e.pace_scale for n, e in engines.items() if n != self._name)
             self._pacer.heard(others)
-            self.keeper.long_prompts.pace_scale = self._pacer.seen_scale
+            self.keeper.long_prompts.pace_scale = self._pacer.measured_scale
         self.keeper.long_prompts.pace_tokens = self._pacer.budget_tokens
 
     def _give(self) -> None:
