--- a/packages/core/src/knapweedbridge_core/serving/fleet.py
+++ b/packages/core/src/knapweedbridge_core/serving/fleet.py
@@ -323,7 +323,7 @@
             if endpoint.accepts_work(now_s)
         ]
 
-    def open_to(self, service: str, now_s: float) -> list[Endpoint]:
+    def open_endpoints(self, service: str, now_s: float) -> list[Endpoint]:
         """Return those of them that may be sent a call now, by what they ask for."""
         return [
             endpoint
--- a/packages/daemon/src/knapweedbridge_daemon/serving/placing.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/placing.py
@@ -288,6 +288,6 @@
         fleet = self._hub.cluster.fleet
         # One that is backed off from is better than none.
         able = fleet.reachable(call.service, now_s)
-        able = able or fleet.open_to(call.service, now_s)
+        able = able or fleet.open_endpoints(call.service, now_s)
         able = list(filter(call.may_go_to, able))
         return await self._link.plain.choose(ask, able, call.details.call_id)
