--- a/features/load/steps/pacing_steps.py
+++ b/features/load/steps/pacing_steps.py
@@ -76,7 +76,7 @@
 def paused(context, pause_s):
     send(context, 9000)
     context.now_s += pause_s
-    context.pacer.saw_pause(pause_s, context.now_s)
+    context.pacer.record_pause(pause_s, context.now_s)
     context.now_s += 2.0
 
 
@@ -93,14 +93,14 @@
 
 @when("streams paused {pause:g} s while nothing was sent, then {tokens:d} were")
 def paused_alone(context, pause, tokens):
-    context.pacer.saw_pause(pause, context.now_s)
+    context.pacer.record_pause(pause, context.now_s)
     send(context, tokens)
 
 
 @when("one prompt of {tokens:d} paused streams {pause:g} s")
 def one_prompt(context, tokens, pause):
     send(context, tokens, parts=1)
-    context.pacer.saw_pause(pause, context.now_s + pause)
+    context.pacer.record_pause(pause, context.now_s + pause)
 
 
 @when("streams paused {pause:g} s and nothing was sent")
@@ -153,7 +153,7 @@
         send(context, int(context.pacer.budget_tokens))
         context.pacer.due(context.now_s)
         context.now_s += LOOK_S
-        context.pacer.saw_pause(b, context.now_s)
+        context.pacer.record_pause(b, context.now_s)
         context.seen.append((context.now_s, context.pacer.budget_tokens))
 
 
--- a/packages/core/src/knapweedbridge_core/serving/prompt_pacing.py
+++ b/packages/core/src/knapweedbridge_core/serving/prompt_pacing.py
@@ -201,7 +201,7 @@
         """Return when to look again, or None while nothing waits."""
 
     @abstractmethod
-    def saw_pause(self, pause_s: float, now_s: float) -> None:
+    def record_pause(self, pause_s: float, now_s: float) -> None:
         """Take the longest pause of streams that ran on the engine just now."""
 
     @property
@@ -232,8 +232,8 @@
         """See `PromptPacer.next_s`."""
         return now_s + LEAST_PAUSE_S if self._waiting else None
 
-    def saw_pause(self, pause_s: float, now_s: float) -> None:
-        """See `PromptPacer.saw_pause`."""
+    def record_pause(self, pause_s: float, now_s: float) -> None:
+        """See `PromptPacer.record_pause`."""
 
     @property
     def budget_tokens(self) -> float:
@@ -325,8 +325,8 @@
                 return max(now_s + LEAST_PAUSE_S, due_s)
         return max(now_s + LEAST_PAUSE_S, latest_s)
 
-    def saw_pause(self, pause_s: float, now_s: float) -> None:
-        """See `PromptPacer.saw_pause`."""
+    def record_pause(self, pause_s: float, now_s: float) -> None:
+        """See `PromptPacer.record_pause`."""
         self._longest_pause_s = max(self._longest_pause_s, pause_s)
         if pause_s > NEAR * self.gap_s:
             self._shrink(pause_s, now_s)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/engine_owning.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/engine_owning.py
@@ -148,7 +148,7 @@
         now_s = anyio.current_time()
         for tokens in message.sent_tokens:
             self.turns.sent(tokens)
-        self.turns.saw_pause(message.pause_s)
+        self.turns.record_pause(message.pause_s)
         self._speeds.take(daemon, message, now_s)
         self.keeper.calls_running(daemon, found, message.unread_tokens, now_s)
         self._teller.mark_calls_changed()
--- a/packages/daemon/src/knapweedbridge_daemon/serving/turn_giving.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/turn_giving.py
@@ -76,16 +76,16 @@
             self._asked.set()
 
     def sent(self, tokens: int) -> None:
-        """Take a prompt that was sent without a turn; `saw_pause` must follow."""
+        """Take a prompt that was sent without a turn; `record_pause` must follow."""
         now_s = anyio.current_time()
         self._pacer.sent(tokens, now_s)
         self._long_prompts.note(tokens, now_s)
 
-    def saw_pause(self, pause_s: float) -> None:
+    def record_pause(self, pause_s: float) -> None:
         """Take the longest pause of streams that ran on the engine just now."""
         before = self._pacer.budget_tokens
         now_s = anyio.current_time()
-        self._pacer.saw_pause(pause_s, now_s)
+        self._pacer.record_pause(pause_s, now_s)
         self._show_pace(now_s)
         now = self._pacer.budget_tokens
         if now != before:
--- a/packages/standins/src/knapweedbridge_standins/serving_load/attempt.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_load/attempt.py
@@ -81,4 +81,4 @@
         if pause_s > self._call.longest_pause_s:
             self._call.longest_pause_s = pause_s
             owner = self._pool.owners[self._endpoint.name]
-            self._pool.clock.after(WAY_S, lambda: owner.saw_pause(pause_s))
+            self._pool.clock.after(WAY_S, lambda: owner.record_pause(pause_s))
--- a/packages/standins/src/knapweedbridge_standins/serving_load/owner.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_load/owner.py
@@ -64,9 +64,9 @@
         self.keeper.long_prompts.note(tokens, now_s)
         self._show_pace()
 
-    def saw_pause(self, pause_s: float) -> None:
+    def record_pause(self, pause_s: float) -> None:
         """Take the longest pause of streams on the engine."""
-        self._pacer.saw_pause(pause_s, self._pool.clock.now_s)
+        self._pacer.record_pause(pause_s, self._pool.clock.now_s)
         self._show_pace()
 
     def _show_pace(self) -> None:
