--- a/packages/core/src/knapweedbridge_core/serving/fleet.py
+++ b/packages/core/src/knapweedbridge_core/serving/fleet.py
@@ -79,7 +79,7 @@
         """Whether endpoints were replaced or started again that nobody has taken."""
         return bool(self._replaced or self._restarted)
 
-    def take_replaced(self) -> list[str]:
+    def pop_replaced(self) -> list[str]:
         """Return, once, the endpoints at whose addresses others were listed since."""
         found, self._replaced = self._replaced, []
         return found
--- a/packages/daemon/src/knapweedbridge_daemon/serving/crash_watch.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/crash_watch.py
@@ -180,7 +180,7 @@
         while True:
             if not self._has_work():
                 await self._hub.losses_changed.wait(LOOK_S)
-            for name in self._hub.cluster.fleet.take_replaced():
+            for name in self._hub.cluster.fleet.pop_replaced():
                 if self._hub.crashes.has_recent_failure(name, loop_time_s()):
                     self._lost.append((name, "replaced"))
             await self._notify_held()
