--- a/features/load/steps/pacing_steps.py
+++ b/features/load/steps/pacing_steps.py
@@ -13,7 +13,7 @@
     WindowPacing,
 )
 from knapweedbridge_core.serving.load_times import TRIAL_PAUSE_S
-from knapweedbridge_core.serving.prompt_pacing import LOOK_S, STEADY_S
+from knapweedbridge_core.serving.prompt_pacing import HOLD_AFTER_PAUSE_S, LOOK_S
 from knapweedbridge_standins.serving_load import SITES, play
 
 NOW_S = 100.0
@@ -149,7 +149,7 @@
     paused(context, a)
     context.first = context.pacer.budget_tokens
     context.seen = []
-    for _ in range(int((STEADY_S + 6) / LOOK_S)):
+    for _ in range(int((HOLD_AFTER_PAUSE_S + 6) / LOOK_S)):
         send(context, int(context.pacer.budget_tokens))
         context.pacer.due(context.now_s)
         context.now_s += LOOK_S
@@ -159,7 +159,9 @@
 
 @then("as much passes for 20 s, and more after that")
 def steady_then_more(context):
-    early = [tokens for at_s, tokens in context.seen if at_s < NOW_S + STEADY_S]
+    early = [
+        tokens for at_s, tokens in context.seen if at_s < NOW_S + HOLD_AFTER_PAUSE_S
+    ]
     assert set(early) == {context.first}, early
     assert context.seen[-1][1] > 1.5 * context.first, context.seen[-1]
 
--- a/packages/core/src/knapweedbridge_core/serving/prompt_pacing.py
+++ b/packages/core/src/knapweedbridge_core/serving/prompt_pacing.py
@@ -48,7 +48,7 @@
 """To what a pause lowers that. With less, what is held back passes all at once when its
 longest wait is over, and pauses the streams."""
 
-STEADY_S = 20.0
+HOLD_AFTER_PAUSE_S = 20.0
 """How long nothing more passes after a pause lowered it: to find the bound anew costs a
 late answer of each stream that runs there."""
 
@@ -362,7 +362,7 @@
 
     def _look(self, now_s: float) -> None:
         calm = 0.0 < self._longest_pause_s < CALM * self.gap_s
-        calm = calm and now_s - self._shrunk_s >= STEADY_S
+        calm = calm and now_s - self._shrunk_s >= HOLD_AFTER_PAUSE_S
         if calm and self._most_tokens >= USED * self.budget_tokens:
             self._scale *= GROWTH
         self._look_s = now_s
