--- a/features/serving/steps/restart_steps.py
+++ b/features/serving/steps/restart_steps.py
@@ -120,8 +120,8 @@
     assert not endpoint.held and ModelRef("m", "y") not in endpoint.recent
     assert endpoint.failing_share(NOW_S) == 0, endpoint.failure_share
     assert endpoint in context.fleet.reachable("llm", NOW_S)
-    assert context.fleet.take_restarted() == [context.before]
-    assert context.fleet.take_restarted() == []
+    assert context.fleet.pop_restarted() == [context.before]
+    assert context.fleet.pop_restarted() == []
 
 
 @then("e1 is believed as before and at start {started:d}")
--- a/packages/core/src/knapweedbridge_core/serving/fleet.py
+++ b/packages/core/src/knapweedbridge_core/serving/fleet.py
@@ -129,7 +129,7 @@
         self._begin(known, record, now_s)
         return True
 
-    def take_restarted(self) -> list[Endpoint]:
+    def pop_restarted(self) -> list[Endpoint]:
         """Return, once, the endpoints whose earlier start is over."""
         found, self._restarted = self._restarted, []
         return found
--- a/packages/daemon/src/knapweedbridge_daemon/serving/sweeping.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/sweeping.py
@@ -30,7 +30,7 @@
         due_s = anyio.current_time() + SWEEP_S
         while True:
             await self._hub.losses_changed.wait(max(0.0, due_s - anyio.current_time()))
-            for before in self._hub.cluster.fleet.take_restarted():
+            for before in self._hub.cluster.fleet.pop_restarted():
                 await self._end_start(before)
             if anyio.current_time() >= due_s:
                 await self._sweep()
