--- a/packages/core/src/knapweedbridge_core/serving/placement.py
+++ b/packages/core/src/knapweedbridge_core/serving/placement.py
@@ -28,7 +28,7 @@
     TooLate,
     WaitFor,
 )
-from knapweedbridge_core.serving.prompt_pacing import LONG_SHARE
+from knapweedbridge_core.serving.prompt_pacing import LONG_PROMPT_SHARE
 
 UNREAD_S = 3e-5
 """What a token that is yet to be read speaks against an engine, besides the time until
@@ -247,7 +247,7 @@
         that. So long prompts go where few calls run, and calls where few long prompts
         go: one engine of a small pool takes most of them, with few other calls.
         """
-        if ask.prompt_tokens >= LONG_SHARE * endpoint.pace_tokens:
+        if ask.prompt_tokens >= LONG_PROMPT_SHARE * endpoint.pace_tokens:
             return LATE_S * endpoint.calls
         hold_s = self.rates.hold_s(endpoint.record.service)
         return LATE_S * -math.expm1(-endpoint.long_prompts_per_s * hold_s)
--- a/packages/core/src/knapweedbridge_core/serving/prompt_pacing.py
+++ b/packages/core/src/knapweedbridge_core/serving/prompt_pacing.py
@@ -70,7 +70,7 @@
 """Part of what passes that one prompt counts at most while it waits: the longest would
 else wait for ever, as it is more than passes in any window."""
 
-LONG_SHARE = 0.65
+LONG_PROMPT_SHARE = 0.65
 """Part of what passes from which on a prompt is long: with little else beside it, it
 pauses the streams of its engine for longer than they accept."""
 
@@ -170,7 +170,7 @@
 
     def note(self, tokens: int, now_s: float) -> None:
         """Take that a prompt was sent."""
-        if tokens < LONG_SHARE * self.pace_tokens:
+        if tokens < LONG_PROMPT_SHARE * self.pace_tokens:
             return
         self._per_s = self.per_s(now_s) + math.log(2) / LONG_HALF_LIFE_S
         self._noted_s = now_s
