--- a/features/serving/steps/belief_steps.py
+++ b/features/serving/steps/belief_steps.py
@@ -131,7 +131,7 @@
     cluster = context.cluster
     found = [
         cluster.deployment and cluster.deployment.version,
-        cluster.wanted_version(ModelRef("m", "x")),
+        cluster.newest_version(ModelRef("m", "x")),
         "e" in cluster.owners and cluster.owners["e"].number,
     ]
     assert [value for value in found if value] == [5], found
--- a/packages/core/src/knapweedbridge_core/serving/cluster_state.py
+++ b/packages/core/src/knapweedbridge_core/serving/cluster_state.py
@@ -365,7 +365,7 @@
             self.lost_owners[endpoint] = able
         return list(able.values())
 
-    def wanted_version(self, model: ModelRef) -> int | None:
+    def newest_version(self, model: ModelRef) -> int | None:
         """Return the newest version named, or None where none was."""
         named = self.versions.get(model)
         return named.newest if named else None
--- a/packages/daemon/src/knapweedbridge_daemon/serving/placing.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/placing.py
@@ -247,7 +247,7 @@
     async def _want(self, call: Call, endpoint: Endpoint) -> None:
         model = call.details.model
         assert model is not None
-        version = self._hub.cluster.wanted_version(model) or 0
+        version = self._hub.cluster.newest_version(model) or 0
         self._hub.log.info(
             "adapter.wanted",
             request=call.details.call_id,
--- a/packages/standins/src/knapweedbridge_standins/serving_histories/cluster.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_histories/cluster.py
@@ -31,7 +31,7 @@
         deployment, owner = cluster.deployment, cluster.owners.get("e")
         in_force = {
             "configuration": deployment.version if deployment else 0,
-            "version": cluster.wanted_version(model) or 0,
+            "version": cluster.newest_version(model) or 0,
             "owner": owner.number if owner else 0,
         }
         if in_force != seen:
--- a/packages/standins/src/knapweedbridge_standins/serving_histories/versions.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_histories/versions.py
@@ -165,14 +165,14 @@
     def _order(self, name: str, daemon: _Daemon) -> None:
         (engine,) = (each for each in self._engines if each.name == name)
         if engine.loading is None:
-            newest = daemon.cluster.wanted_version(MODEL) or 1
+            newest = daemon.cluster.newest_version(MODEL) or 1
             engine.loading = self._now_s + self._luck.uniform(0.05, 1.5), newest
 
     def _send(self, daemon: _Daemon, endpoint: Endpoint) -> None:
         version = endpoint.held[MODEL].version
         first_s = self._placement.rates.first_event_s(endpoint, 0, self._now_s)
         begins_s = self._now_s + first_s + self._luck.uniform(0.0, LATE_BEGIN_S)
-        is_older = version < (daemon.cluster.wanted_version(MODEL) or 0)
+        is_older = version < (daemon.cluster.newest_version(MODEL) or 0)
         self._runs.append(_Run(daemon, version, begins_s, is_older))
 
     def _begin_due(self) -> None:
