--- a/packages/core/src/knapweedbridge_core/serving/deployment.py
+++ b/packages/core/src/knapweedbridge_core/serving/deployment.py
@@ -5,7 +5,7 @@
 
 from knapweedbridge_core.rendezvous import score
 from knapweedbridge_core.serving.accounts import Accounts, ClientAccount
-from knapweedbridge_core.serving.recent_adapters import RECENT_A_PLACE
+from knapweedbridge_core.serving.recent_adapters import RECENT_PER_PLACE
 
 HASH_RANGE = 1 << 64
 
@@ -147,7 +147,7 @@
     @property
     def recent_adapters(self) -> int:
         """Adapters that it has in its memory besides those it holds."""
-        return RECENT_A_PLACE * self.adapter_places
+        return RECENT_PER_PLACE * self.adapter_places
 
 
 @dataclass(slots=True, frozen=True)
--- a/packages/core/src/knapweedbridge_core/serving/recent_adapters.py
+++ b/packages/core/src/knapweedbridge_core/serving/recent_adapters.py
@@ -5,7 +5,7 @@
 
 from knapweedbridge_core.serving.model_ref import ModelRef
 
-RECENT_A_PLACE = 5
+RECENT_PER_PLACE = 5
 """Adapters that an engine is taken to have in its memory for each of its places,
 besides those it holds. The users' engines keep six times their places in all, with 8
 places as with 29, by their sheets. A fixed 90 is too few for the one and too many for
