--- a/bench/mutants_serving.py
+++ b/bench/mutants_serving.py
@@ -162,7 +162,7 @@
     ),
     "any news of a relay is new": (
         "who knows of it in time",
-        [(store_age_module, "OLD_S", 1e9)],
+        [(store_age_module, "STALE_S", 1e9)],
     ),
     "relays catch nobody up": (
         "who knows of it in time",
--- a/packages/core/src/knapweedbridge_core/serving/store_age.py
+++ b/packages/core/src/knapweedbridge_core/serving/store_age.py
@@ -10,7 +10,7 @@
 
 from collections import deque
 
-OLD_S = 1.7
+STALE_S = 1.7
 """Age past which a daemon looks at the store itself. Operators of large pools allow 3 s
 for what the store acknowledged; a look takes a call, which may have to be repeated
 after a second without an answer. Less would have hearers look whose relays are well."""
@@ -64,15 +64,15 @@
 
     def is_old(self, now_s: float) -> bool:
         """Tell whether this daemon must look at the store itself."""
-        return self.age_s(now_s) >= OLD_S
+        return self.age_s(now_s) >= STALE_S
 
     def is_cut_off(self, now_s: float) -> bool:
         """Tell whether the store has answered none of this daemon's calls for long."""
-        return now_s - self._looked_s >= OLD_S
+        return now_s - self._looked_s >= STALE_S
 
     def old_in_s(self, now_s: float) -> float:
         """Return in how many seconds it must, unless more is proved until then."""
-        return max(0.0, OLD_S - self.age_s(now_s))
+        return max(0.0, STALE_S - self.age_s(now_s))
 
     def relays_to_mark(self, heard: list[str], now_s: float) -> list[str]:
         """Name the relays at which this daemon marks this moment.
@@ -82,7 +82,7 @@
         """
         self._relays = {relay: self._relays.get(relay, now_s) for relay in heard}
         own = heard[:1]
-        is_late = any(now_s - self._relays[relay] >= OLD_S for relay in own)
+        is_late = any(now_s - self._relays[relay] >= STALE_S for relay in own)
         return heard if is_late else own
 
 
