--- a/packages/core/src/knapweedbridge_core/serving/speed_reports.py
+++ b/packages/core/src/knapweedbridge_core/serving/speed_reports.py
@@ -6,7 +6,7 @@
 from knapweedbridge_core.serving.engine_rates import EngineRates
 from knapweedbridge_core.serving.engine_speed import EngineSpeed
 
-FIRST_EVENTS_MOST = 8
+MAX_FIRST_EVENTS = 8
 """First events in one report: an engine of 12 slots begins fewer in a second."""
 
 
@@ -40,7 +40,7 @@
         gaps : sequence of [count, total_s]
             Number and sum of the pauses between events; it may be empty.
         """
-        for prompt_tokens, unread_tokens, took_s in first_events[:FIRST_EVENTS_MOST]:
+        for prompt_tokens, unread_tokens, took_s in first_events[:MAX_FIRST_EVENTS]:
             usual_s = self._rates.usual_first_event_s(
                 self._service, prompt_tokens, unread_tokens
             )
--- a/packages/daemon/src/knapweedbridge_daemon/serving/engine_observations.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/engine_observations.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 
 from knapweedbridge_core.serving import EndpointStart
-from knapweedbridge_core.serving.speed_reports import FIRST_EVENTS_MOST
+from knapweedbridge_core.serving.speed_reports import MAX_FIRST_EVENTS
 
 
 @dataclass(slots=True)
@@ -31,7 +31,7 @@
         The latest are kept: they tell most of the engine as it is now.
         """
         first_events = self._of(start).first_events
-        if len(first_events) >= FIRST_EVENTS_MOST:
+        if len(first_events) >= MAX_FIRST_EVENTS:
             del first_events[0]
         first_events.append([prompt_tokens, unread_tokens, took_s])
 
