--- a/packages/core/src/knapweedbridge_core/serving/store_age.py
+++ b/packages/core/src/knapweedbridge_core/serving/store_age.py
@@ -70,7 +70,7 @@
         """Tell whether the store has answered none of this daemon's calls for long."""
         return now_s - self._looked_s >= STALE_S
 
-    def old_in_s(self, now_s: float) -> float:
+    def stale_in_s(self, now_s: float) -> float:
         """Return in how many seconds it must, unless more is proved until then."""
         return max(0.0, STALE_S - self.age_s(now_s))
 
--- a/packages/daemon/src/knapweedbridge_daemon/serving/believing.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/believing.py
@@ -183,8 +183,8 @@
         both, whatever lies between the store and this daemon.
         """
         self._told = anyio.Event()
-        old_in_s = self._hub.store_age.old_in_s(self._hub.steady_s())
-        with anyio.move_on_after(min(SILENCE_S, old_in_s)):
+        stale_in_s = self._hub.store_age.stale_in_s(self._hub.steady_s())
+        with anyio.move_on_after(min(SILENCE_S, stale_in_s)):
             await self._told.wait()
         if self._is_old():
             self._note_trouble("relay.late")
