--- a/packages/daemon/src/knapweedbridge_daemon/serving/engine_owning.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/engine_owning.py
@@ -115,7 +115,7 @@
             hub.load_times,
         )
         self._speeds = SpeedKeeping(hub, endpoint, self.keeper)
-        self._teller = EngineUpdates(endpoint.start, record.number, self.keeper)
+        self._updates = EngineUpdates(endpoint.start, record.number, self.keeper)
         long_prompts, speed = self.keeper.long_prompts, self.keeper.speed
         self.turns = TurnGiver(hub, endpoint, record.number, long_prompts, send, speed)
         self.scope = anyio.CancelScope()
@@ -128,12 +128,12 @@
     def wanted(self, daemon: str, model: ModelRef, version: int) -> None:
         """Take a daemon's wish for an adapter, which is answered at once."""
         self._askers.add(daemon)
-        self._teller.wanted_by(daemon, model)
+        self._updates.wanted_by(daemon, model)
         small = self._hub.cluster.is_small_pool
         if self.keeper.holds(model, version) and not small:
             # It has not heard of it yet, and no order will tell it. In a small pool
             # each change is told to all at once.
-            self._teller.request_snapshot(daemon)
+            self._updates.request_snapshot(daemon)
         self.keeper.want(model, version, anyio.current_time())
         self._work.set()
 
@@ -151,7 +151,7 @@
         self.turns.record_pause(message.pause_s)
         self._speeds.take(daemon, message, now_s)
         self.keeper.calls_running(daemon, found, message.unread_tokens, now_s)
-        self._teller.mark_calls_changed()
+        self._updates.mark_calls_changed()
         self._note_calls()
 
     def _note_calls(self) -> None:
@@ -160,18 +160,18 @@
             self._work.set()
         else:
             small = self._hub.cluster.is_small_pool
-            self._work.set_by(self._teller.due_s(small) + TIMER_S)
+            self._work.set_by(self._updates.due_s(small) + TIMER_S)
 
     def forget_daemon(self, daemon: str) -> None:
         """Drop the calls of a daemon that is gone."""
         self.keeper.forget_daemon(daemon)
-        self._teller.mark_calls_changed()
+        self._updates.mark_calls_changed()
         self._work.set()
 
     def missed(self, model: ModelRef) -> None:
         """Take that the engine does not hold what it should."""
         self.keeper.missed(model, anyio.current_time())
-        self._teller.mark_adapters_changed()
+        self._updates.mark_adapters_changed()
         self._work.set()
 
     async def run(self) -> None:
@@ -238,9 +238,9 @@
         if self.keeper.needs_report:
             pause_s = REPORT_PAUSE_S
         elif self.keeper.wants:
-            pause_s = LOAD_UPDATE_INTERVAL_S if self._teller.has_news else 0.05
-        if self._teller.has_news:
-            pause_s = min(pause_s, self._teller.due_s(small) + TIMER_S - now_s)
+            pause_s = LOAD_UPDATE_INTERVAL_S if self._updates.has_news else 0.05
+        if self._updates.has_news:
+            pause_s = min(pause_s, self._updates.due_s(small) + TIMER_S - now_s)
         return max(LEAST_PAUSE_S, pause_s)
 
     async def _step(self) -> None:
@@ -284,7 +284,7 @@
         if self._is_of_another_start(report):
             return
         self.keeper.reported(report, anyio.current_time())
-        self._teller.mark_adapters_changed()
+        self._updates.mark_adapters_changed()
 
     def _is_of_another_start(self, report: EngineReport) -> bool:
         """Tell whether a report is of another start of the engine than is known.
@@ -335,9 +335,9 @@
             # Only the time of a load depends on them.
             self._count_others()
         self.keeper.answered(order, answer, anyio.current_time())
-        self._teller.mark_adapters_changed()
+        self._updates.mark_adapters_changed()
         if order.kind is OrderKind.LOAD and answer is not OrderAnswer.UNKNOWN:
-            self._teller.record_load_ordered(order.model)
+            self._updates.record_load_ordered(order.model)
         hub.measures.count("orders", f"{order.kind.value}_{answer.value}")
         hub.log.info(
             "engine.ordered",
@@ -362,8 +362,8 @@
 
     async def request_snapshot(self, daemon: str) -> None:
         """Answer a daemon that missed a telling, or has a call to place."""
-        self._teller.request_snapshot(daemon)
-        for telling in self._teller.take_requested(anyio.current_time()):
+        self._updates.request_snapshot(daemon)
+        for telling in self._updates.take_requested(anyio.current_time()):
             await self._send(telling.daemon, telling.message)
 
     async def _tell(self) -> None:
@@ -372,7 +372,7 @@
         subscribers = chain.from_iterable(cluster.relays.values())
         small = cluster.is_small_pool
         told_to = list(cluster.daemons if small else subscribers)
-        for telling in self._teller.tell(told_to, small, now_s):
+        for telling in self._updates.tell(told_to, small, now_s):
             askers.discard(telling.daemon)
             await self._send(telling.daemon, telling.message)
         for daemon in askers:
--- a/packages/standins/src/knapweedbridge_standins/serving_load/owner.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_load/owner.py
@@ -39,7 +39,7 @@
         limits = EngineLimits(site.slots, 10**6, site.places, 1e5, 10.0)
         self.keeper = EngineController(limits, times=pool.daemons[daemon].load_times)
         self.keeper.reported(pool.engines[name].report(), pool.clock.now_s)
-        self._teller = EngineUpdates(EndpointStart(name, 0), 1, self.keeper)
+        self._updates = EngineUpdates(EndpointStart(name, 0), 1, self.keeper)
         self._ordering = False
         self._woken = False
         self._reported_s = float("-inf")
@@ -97,9 +97,9 @@
 
     def wanted(self, daemon: str, model: ModelRef) -> None:
         """Take a daemon's wish."""
-        self._teller.wanted_by(daemon, model)
+        self._updates.wanted_by(daemon, model)
         if self.keeper.holds(model, 0) and not self._pool.small:
-            self._teller.request_snapshot(daemon)
+            self._updates.request_snapshot(daemon)
         self.keeper.want(model, 0, self._pool.clock.now_s)
         self.work()
 
@@ -107,7 +107,7 @@
         """Take a daemon's calls."""
         now_s = self._pool.clock.now_s
         self.keeper.calls_running(daemon, calls, unread, now_s)
-        self._teller.mark_calls_changed()
+        self._updates.mark_calls_changed()
         self.work()
 
     def observed(
@@ -121,13 +121,13 @@
     def missed(self, model: ModelRef) -> None:
         """Take that the engine refused a call."""
         self.keeper.missed(model, self._pool.clock.now_s)
-        self._teller.mark_adapters_changed()
+        self._updates.mark_adapters_changed()
         self.work()
 
     def asked(self, daemon: str) -> None:
         """Take that a daemon missed a telling."""
-        self._teller.request_snapshot(daemon)
-        for telling in self._teller.take_requested(self._pool.clock.now_s):
+        self._updates.request_snapshot(daemon)
+        for telling in self._updates.take_requested(self._pool.clock.now_s):
             self._pool.tell(telling.daemon, self.daemon, telling.message)
 
     def work(self) -> None:
@@ -136,13 +136,13 @@
         if self.keeper.needs_report and now_s - self._reported_s >= REPORT_PAUSE_S:
             self._reported_s = now_s
             self.keeper.reported(self._pool.engines[self._name].report(), now_s)
-            self._teller.mark_adapters_changed()
+            self._updates.mark_adapters_changed()
         if not self._ordering:
             order = self.keeper.next_order(now_s)
             if order is not None:
                 self._ordering = True
                 self._pool.clock.after(WAY_S, lambda: self._order(order))
-        for telling in self._teller.tell(
+        for telling in self._updates.tell(
             self._pool.subscribers, self._pool.small, now_s
         ):
             self._pool.tell(telling.daemon, self.daemon, telling.message)
@@ -160,16 +160,16 @@
             each.coming(now_s) for each in fleet.engines() if each.name != self._name
         )
         self.keeper.answered(order, answer, now_s)
-        self._teller.mark_adapters_changed()
+        self._updates.mark_adapters_changed()
         if order.kind is OrderKind.LOAD:
-            self._teller.record_load_ordered(order.model)
+            self._updates.record_load_ordered(order.model)
         self._ordering = False
         self.work()
 
     def _wake_later(self) -> None:
         if self._woken:
             return
-        busy = self.keeper.wants or self._teller.has_news or self.keeper.needs_report
+        busy = self.keeper.wants or self._updates.has_news or self.keeper.needs_report
         if busy or not self._pool.small:
             self._woken = True
             self._pool.clock.after(
