--- a/packages/core/src/knapweedbridge_core/serving/store_age.py
+++ b/packages/core/src/knapweedbridge_core/serving/store_age.py
@@ -62,7 +62,7 @@
         """Return for how long changes may be unknown; infinite before the first."""
         return now_s - self._current_s
 
-    def is_old(self, now_s: float) -> bool:
+    def is_stale(self, now_s: float) -> bool:
         """Tell whether this daemon must look at the store itself."""
         return self.age_s(now_s) >= STALE_S
 
--- a/packages/daemon/src/knapweedbridge_daemon/serving/believing.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/believing.py
@@ -197,7 +197,7 @@
         await self._watch_once(prefix, 0.0)
 
     def _is_old(self) -> bool:
-        return self._hub.store_age.is_old(self._hub.steady_s())
+        return self._hub.store_age.is_stale(self._hub.steady_s())
 
     def _note_trouble(self, kind: str) -> None:
         if self._trouble != kind:
