--- a/features/speeds/steps/learning_steps.py
+++ b/features/speeds/steps/learning_steps.py
@@ -126,10 +126,10 @@
 
 @then("what it tells of the engine names a speed from {least:g} to {most:g}")
 def told(context, least, most):
-    teller = EngineUpdates(EndpointStart("e1", 0), 1, context.keeper)
-    told = teller.tell(["h1"], False, NOW_S)
-    teller.mark_calls_changed()
-    told += teller.tell(["h1"], False, NOW_S + 1)
+    updates = EngineUpdates(EndpointStart("e1", 0), 1, context.keeper)
+    told = updates.tell(["h1"], False, NOW_S)
+    updates.mark_calls_changed()
+    told += updates.tell(["h1"], False, NOW_S + 1)
     kinds = {type(each.message).__name__ for each in told}
     assert kinds == {"EngineTold", "EngineChanged"}, kinds
     assert all(least <= each.message.speed <= most for each in told), told
