--- a/features/serving/steps/store_age_steps.py
+++ b/features/serving/steps/store_age_steps.py
@@ -12,8 +12,8 @@
 )
 def marked_twice(context):
     context.marks = SubscriberMarks()
-    context.marks.marked("h", 3.0, 7.0)
-    context.marks.marked("h", 3.4, 7.4)
+    context.marks.record_mark("h", 3.0, 7.0)
+    context.marks.record_mark("h", 3.4, 7.4)
 
 
 @when("calls to the store that began at {began} are answered")
--- a/packages/core/src/knapweedbridge_core/serving/store_age.py
+++ b/packages/core/src/knapweedbridge_core/serving/store_age.py
@@ -99,7 +99,7 @@
         self._waiting: dict[str, deque[tuple[float, float]]] = {}
         self._covered_s: dict[str, float] = {}
 
-    def marked(self, hearer: str, mark_s: float, now_s: float) -> None:
+    def record_mark(self, hearer: str, mark_s: float, now_s: float) -> None:
         """Take a hearer's mark that came now."""
         waiting = self._waiting.setdefault(hearer, deque(maxlen=MARKS_KEPT))
         waiting.append((now_s, mark_s))
--- a/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
@@ -179,7 +179,7 @@
                 await self._ask_relay(daemon, RelayRequest(False, missed_after))
             await self._take_relayed(daemon, message)
         elif isinstance(message, StoreMark):
-            self.relaying.marked(daemon, message.mark_s)
+            self.relaying.record_mark(daemon, message.mark_s)
         else:
             await self.relaying.asked(daemon, message)
 
--- a/packages/daemon/src/knapweedbridge_daemon/serving/relaying.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/relaying.py
@@ -110,13 +110,13 @@
         self._items += items
         self._log.add(since, items)
 
-    def marked(self, daemon: str, mark_s: float) -> None:
+    def record_mark(self, daemon: str, mark_s: float) -> None:
         """Take a hearer's mark, to be given back once the store's answers cover it.
 
         It is told from then on, whichever relay is its own: its own proves nothing.
         """
         if self.is_relay:
-            self._marks.marked(daemon, mark_s, self._hub.steady_s())
+            self._marks.record_mark(daemon, mark_s, self._hub.steady_s())
             self._adopted_s[daemon] = anyio.current_time()
 
     async def asked(self, daemon: str, message: RelayRequest) -> None:
