--- a/packages/core/src/knapweedbridge_core/serving/store_outage.py
+++ b/packages/core/src/knapweedbridge_core/serving/store_outage.py
@@ -43,7 +43,7 @@
         began_s, ended_s = self._silence_s
         return began_s if began_s <= moment_s < ended_s else moment_s
 
-    def came_back_older(self, now_s: float) -> None:
+    def record_rollback(self, now_s: float) -> None:
         """Take that the store goes on from an older copy, without some entries."""
         self._away_s = now_s
 
--- a/packages/daemon/src/knapweedbridge_daemon/serving/hub.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/hub.py
@@ -161,7 +161,7 @@
             self.measures.count("store_eras")
             self.lease.record_loss()
             self.lease_revision = sys.maxsize
-            self.outage.came_back_older(anyio.current_time())
+            self.outage.record_rollback(anyio.current_time())
         self.store_era = era
 
     @property
