--- a/packages/core/src/knapweedbridge_core/serving/fleet.py
+++ b/packages/core/src/knapweedbridge_core/serving/fleet.py
@@ -257,7 +257,7 @@
         ends = (each.lapsed_until_s for each in self._lapsed.values())
         return min((end_s for end_s in ends if end_s > now_s), default=None)
 
-    def prolong_lapses(self, until_s: float, now_s: float) -> None:
+    def extend_lapses(self, until_s: float, now_s: float) -> None:
         """Keep endpoints whose entries may have lapsed in use until a moment."""
         for each in self._lapsed.values():
             if each.lapsed_until_s > now_s:
--- a/packages/daemon/src/knapweedbridge_daemon/serving/lapse_check.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/lapse_check.py
@@ -58,7 +58,7 @@
         fleet = self._hub.cluster.fleet
         over_s = max(ends_s, self._hub.outage.lapsed_until_s)
         fleet.end_lapses(over_s)
-        fleet.prolong_lapses(over_s, anyio.current_time())
+        fleet.extend_lapses(over_s, anyio.current_time())
         if failures:
             self._hub.log.info(
                 "endpoint.lapse_prolonged",
@@ -71,7 +71,7 @@
     async def _hold(self) -> None:
         while True:
             now_s = anyio.current_time()
-            self._hub.cluster.fleet.prolong_lapses(now_s + HOLD_S, now_s)
+            self._hub.cluster.fleet.extend_lapses(now_s + HOLD_S, now_s)
             await anyio.sleep(HOLD_EVERY_S)
 
     async def _await_answer(self) -> int:
