--- a/packages/core/src/knapweedbridge_core/serving/deployment.py
+++ b/packages/core/src/knapweedbridge_core/serving/deployment.py
@@ -82,7 +82,7 @@
             return self
         return replace(self, urgency=account.urgency)
 
-    def service_of(self, call_id: str) -> str:
+    def choose_service(self, call_id: str) -> str:
         """Choose the service of one call; the same for the same call."""
         if len(self.services) == 1:
             return self.services[0].service
--- a/packages/daemon/src/knapweedbridge_daemon/serving/callers_app.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/callers_app.py
@@ -152,7 +152,7 @@
             request,
             responder,
             route,
-            route.service_of(details.stream_id),
+            route.choose_service(details.stream_id),
             details,
             request.received_s + allowed_s,
             mark=_mark(request, terms),
