--- a/packages/core/src/knapweedbridge_core/serving/deployment.py
+++ b/packages/core/src/knapweedbridge_core/serving/deployment.py
@@ -76,7 +76,7 @@
             return self.resumable
         return self.kind is CallKind.IDEMPOTENT
 
-    def on_terms_of(self, account: ClientAccount | None) -> "Route":
+    def for_account(self, account: ClientAccount | None) -> "Route":
         """Return the route with the rank that an account's calls have on it."""
         if account is None or account.urgency in (None, self.urgency):
             return self
--- a/packages/daemon/src/knapweedbridge_daemon/serving/call_terms.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/call_terms.py
@@ -98,7 +98,7 @@
         account = deployment.account_of(details.key_digest)
         if deployment.is_closed_to(route, account):
             return Refusal(401, "unknown_key" if details.key_digest else "no_key")
-        return CallTerms(deployment, route.on_terms_of(account), account)
+        return CallTerms(deployment, route.for_account(account), account)
 
 
 def _route_of(deployment: Deployment, request: ReceivedRequest) -> Route | None:
