--- a/packages/core/src/knapweedbridge_core/serving/deployment.py
+++ b/packages/core/src/knapweedbridge_core/serving/deployment.py
@@ -217,7 +217,7 @@
                 return route
         return None
 
-    def account_of(self, key_digest: str) -> ClientAccount | None:
+    def find_account(self, key_digest: str) -> ClientAccount | None:
         """Return the client account that holds a key, or None."""
         return self.accounts.holding(key_digest) if self.accounts else None
 
--- a/packages/daemon/src/knapweedbridge_daemon/serving/call_terms.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/call_terms.py
@@ -95,7 +95,7 @@
         route = _route_of(deployment, request)
         if route is None:
             return Refusal(404, "no_route")
-        account = deployment.account_of(details.key_digest)
+        account = deployment.find_account(details.key_digest)
         if deployment.is_closed_to(route, account):
             return Refusal(401, "unknown_key" if details.key_digest else "no_key")
         return CallTerms(deployment, route.for_account(account), account)
