--- a/features/serving/steps/store_age_steps.py
+++ b/features/serving/steps/store_age_steps.py
@@ -24,7 +24,7 @@
 
 @when("only daemon g hears it, and a call to the store that began at 8.0 is answered")
 def hearer_gone(context):
-    context.marks.keep({"g"})
+    context.marks.retain({"g"})
     context.marks.answered(8.0)
 
 
--- a/packages/core/src/knapweedbridge_core/serving/store_age.py
+++ b/packages/core/src/knapweedbridge_core/serving/store_age.py
@@ -114,7 +114,7 @@
         """Return a hearer's newest mark that is covered, 0.0 where none is."""
         return self._covered_s.get(hearer, 0.0)
 
-    def keep(self, subscribers: set[str]) -> None:
+    def retain(self, subscribers: set[str]) -> None:
         """Forget all but these hearers."""
         for marks in (self._waiting, self._covered_s):
             for hearer in marks.keys() - subscribers:
--- a/packages/daemon/src/knapweedbridge_daemon/serving/relaying.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/relaying.py
@@ -168,7 +168,7 @@
         self._rows = []
         if told.revision:
             self._since, self._items = None, []
-        self._marks.keep(self._told)
+        self._marks.retain(self._told)
         missed_after, self._missed_after = self._missed_after, {}
         all_relays = set(chain(*self._hub.cluster.relays.values()))
         for name in wanted:
