--- a/bench/accounts.py
+++ b/bench/accounts.py
@@ -53,7 +53,7 @@
 
     def look_up(number: int) -> None:
         digest = bearer_key_digest(f"Bearer key-{number % ACCOUNTS}")
-        accounts.holding(digest)
+        accounts.by_key_digest(digest)
 
     def spend_held(number: int) -> None:
         now_s = number / 1e4
--- a/packages/core/src/knapweedbridge_core/serving/accounts.py
+++ b/packages/core/src/knapweedbridge_core/serving/accounts.py
@@ -100,7 +100,7 @@
         """Return the account of a name, or None."""
         return self._by_name.get(name)
 
-    def holding(self, key_digest: str) -> ClientAccount | None:
+    def by_key_digest(self, key_digest: str) -> ClientAccount | None:
         """Return the account that holds a key, or None where none does.
 
         Digests are looked up, so how long it takes tells nothing of a key.
--- a/packages/core/src/knapweedbridge_core/serving/deployment.py
+++ b/packages/core/src/knapweedbridge_core/serving/deployment.py
@@ -219,7 +219,7 @@
 
     def find_account(self, key_digest: str) -> ClientAccount | None:
         """Return the client account that holds a key, or None."""
-        return self.accounts.holding(key_digest) if self.accounts else None
+        return self.accounts.by_key_digest(key_digest) if self.accounts else None
 
     def is_closed_to(self, route: Route, account: ClientAccount | None) -> bool:
         """Tell whether a route takes no calls of a caller for want of a key."""
