--- a/packages/core/src/knapweedbridge_core/serving/software_versions.py
+++ b/packages/core/src/knapweedbridge_core/serving/software_versions.py
@@ -90,6 +90,6 @@
         is_old = now_s - self._recorded_s[service] > STREAM_LIFE_S
         return set() if is_old and len(seen) <= 1 else None
 
-    def most(self) -> int:
+    def max_listed(self) -> int:
         """Return the most versions of one service that are listed side by side."""
         return max(map(len, self._listed.values()), default=0)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/side_faces.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/side_faces.py
@@ -49,7 +49,7 @@
             "endpoints_brittle": hub.cluster.fleet.brittle_count(),
             "endpoints_leaving": hub.cluster.fleet.leaving_count(),
             "endpoints_resting": hub.cluster.fleet.resting_count(anyio.current_time()),
-            "software_versions": hub.cluster.fleet.software.most(),
+            "software_versions": hub.cluster.fleet.software.max_listed(),
             "endpoints_unreachable": hub.cluster.fleet.unreachable_count(
                 anyio.current_time()
             ),
