--- a/features/members/steps/configuration_steps.py
+++ b/features/members/steps/configuration_steps.py
@@ -418,7 +418,7 @@
 @given("a daemon that is unsure, and whose peers {answer}")
 def unsure_daemon(context, answer):
     context.members = Members("host-0", "dc1")
-    context.members.unsure = True
+    context.members.is_stale = True
     context.answers = answer == "answer presently"
     context.add_cleanup(setattr, proposals, "CONTACT_S", proposals.CONTACT_S)
     proposals.CONTACT_S = 4.0 if context.answers else 0.2
@@ -427,7 +427,7 @@
 async def wait_for_contact(context):
     async def answer():
         await anyio.sleep(0.1)
-        context.members.unsure = not context.answers
+        context.members.is_stale = not context.answers
 
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(answer)
--- a/features/members/steps/membership_steps.py
+++ b/features/members/steps/membership_steps.py
@@ -120,7 +120,7 @@
 def noticed_pause(context, host):
     node = context.pool.nodes[host]
     assert node.recorded("daemon.paused")
-    assert node.bridge.members.unsure is (host not in node.bridge.members.available())
+    assert node.bridge.members.is_stale is (host not in node.bridge.members.available())
 
 
 @then('nobody but "{host}" was ever recorded as dead')
--- a/packages/core/src/knapweedbridge_core/computed_owners.py
+++ b/packages/core/src/knapweedbridge_core/computed_owners.py
@@ -34,7 +34,7 @@
 
     def _forget_if_changed(self) -> None:
         members = self._members
-        seen = (members.version, members.draining, members.unsure)
+        seen = (members.version, members.draining, members.is_stale)
         if seen != self._seen:
             self._seen = seen
             self._candidates.clear()
--- a/packages/core/src/knapweedbridge_core/configuration_side.py
+++ b/packages/core/src/knapweedbridge_core/configuration_side.py
@@ -94,7 +94,7 @@
         if self._waits_for_peers():
             return False
         members = self._context.members
-        key = (members.version, members.unsure, members.draining)
+        key = (members.version, members.is_stale, members.draining)
         if key != self._watch_key:
             self._watch_key = key
             names = members.available(self._context.data_centre)
@@ -122,7 +122,7 @@
         the fleet would take a third of the reads that the service allows.
         """
         fetches = self._fetch is not None and not self._is_overdue(self._fetch)
-        return self.held.generation == 0 and (self._context.members.unsure or fetches)
+        return self.held.generation == 0 and (self._context.members.is_stale or fetches)
 
     def _tick(self, event: events.Tick) -> None:
         held = self.held.generation
--- a/packages/core/src/knapweedbridge_core/member_side.py
+++ b/packages/core/src/knapweedbridge_core/member_side.py
@@ -70,7 +70,7 @@
             self._become_unsure()
 
     def _become_unsure(self) -> None:
-        self._context.members.unsure = True
+        self._context.members.is_stale = True
         self._unsure_until_s = self._context.now_s + SYNC_WAIT_S
         for host in self._context.members.neighbours():
             self._context.send(host, messages.MembersRequest())
@@ -82,7 +82,7 @@
             self._context.isolated = isolated
             self._context.record("daemon.isolated" if isolated else "daemon.rejoined")
         waiting = self._context.now_s < self._unsure_until_s
-        members.unsure = isolated or (members.unsure and waiting)
+        members.is_stale = isolated or (members.is_stale and waiting)
 
     def _beat(self, hosts: list[str], *extra: MemberState) -> None:
         members = self._context.members
@@ -189,7 +189,7 @@
     def _members_told(self, message: messages.MemberList) -> None:
         for state in message.states:
             self._take(MemberState(*state))
-        self._context.members.unsure = self._context.isolated
+        self._context.members.is_stale = self._context.isolated
 
     def _probe_ask(self, message: messages.ProbeRequest) -> None:
         self._beat([self._context.sender])
--- a/packages/core/src/knapweedbridge_core/members.py
+++ b/packages/core/src/knapweedbridge_core/members.py
@@ -108,7 +108,7 @@
         self._available: dict[str | None, list[str]] = {}
         self.version = 0
         self.draining = False
-        self.unsure = False
+        self.is_stale = False
         self.refusing = False
 
     def listed(self, hosts: tuple[ListedHost, ...]) -> list[Member]:
@@ -212,7 +212,7 @@
         return list(self._available[data_centre])
 
     def _forget_old_choices(self) -> None:
-        key = (self.version, self.unsure, self.draining)
+        key = (self.version, self.is_stale, self.draining)
         if key != self._choices_key:
             self._choices_key = key
             self._choices.clear()
@@ -225,7 +225,7 @@
             if member.state.status == Status.ALIVE
             and data_centre in (None, member.data_centre)
         ]
-        busy = self.draining or self.unsure
+        busy = self.draining or self.is_stale
         if not busy and data_centre in (None, self._data_centre):
             names.append(self._host)
         return names
--- a/packages/daemon/src/knapweedbridge_daemon/inventory.py
+++ b/packages/daemon/src/knapweedbridge_daemon/inventory.py
@@ -37,7 +37,7 @@
         "generation": bridge.configuration.generation,
         "configuration": bridge.distribution.status(),
         "draining": bridge.members.draining,
-        "isolated": bridge.members.unsure,
+        "isolated": bridge.members.is_stale,
         "owned": sorted(bridge.ledgers),
         "requests": driver.following,
         "peers": peers,
--- a/packages/daemon/src/knapweedbridge_daemon/proposals.py
+++ b/packages/daemon/src/knapweedbridge_daemon/proposals.py
@@ -246,9 +246,9 @@
         If they do not answer.
     """
     with move_on_after(CONTACT_S):
-        while members.unsure:
+        while members.is_stale:
             await sleep(CONTACT_LOOK_S)
-    if members.unsure:
+    if members.is_stale:
         raise StoreError("no contact with the other daemons; try again")
 
 
--- a/packages/standins/src/knapweedbridge_standins/configuration_history.py
+++ b/packages/standins/src/knapweedbridge_standins/configuration_history.py
@@ -159,7 +159,7 @@
     @rule(host=hosts, mark=st.integers(0, 15), back=st.sampled_from((0, 0, 0, 1)))
     def apply(self, host: str, mark: int, back: int) -> None:
         """An operator applies through a daemon, maybe based on an old look."""
-        if not self.bridges[host].members.unsure:
+        if not self.bridges[host].members.is_stale:
             based_on = self.bridges[host].distribution.highest_known - back
             self._apply(host, mark, max(0, based_on))
 
@@ -202,7 +202,7 @@
     @rule(first=hosts, second=hosts, marks=st.tuples(*[st.integers(0, 15)] * 2))
     def race(self, first: str, second: str, marks: tuple[int, int]) -> None:
         """Two operators apply on the same base; one comes in between."""
-        if any(self.bridges[host].members.unsure for host in (first, second)):
+        if any(self.bridges[host].members.is_stale for host in (first, second)):
             return
         based_on = self.bridges[first].configuration.generation
         self.store.before_write = lambda: self._apply(second, marks[1], based_on)
