--- a/packages/core/src/knapweedbridge_core/serving/__init__.py
+++ b/packages/core/src/knapweedbridge_core/serving/__init__.py
@@ -35,7 +35,7 @@
 from knapweedbridge_core.serving.endpoint import Endpoint
 from knapweedbridge_core.serving.endpoint_paths import EndpointPaths
 from knapweedbridge_core.serving.endpoint_records import EndpointRecord, EndpointStart
-from knapweedbridge_core.serving.engine_keeper import EngineController
+from knapweedbridge_core.serving.engine_controller import EngineController
 from knapweedbridge_core.serving.engine_orders import (
     EngineReport,
     Order,
--- a/packages/core/src/knapweedbridge_core/serving/engine_teller.py
+++ b/packages/core/src/knapweedbridge_core/serving/engine_teller.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, replace
 
 from knapweedbridge_core.serving.endpoint_records import EndpointStart
-from knapweedbridge_core.serving.engine_keeper import EngineController
+from knapweedbridge_core.serving.engine_controller import EngineController
 from knapweedbridge_core.serving.messages import EngineChanged, EngineTold
 from knapweedbridge_core.serving.model_ref import ModelRef
 
