--- a/packages/core/src/knapweedbridge_core/serving/__init__.py
+++ b/packages/core/src/knapweedbridge_core/serving/__init__.py
@@ -44,7 +44,7 @@
 )
 from knapweedbridge_core.serving.engine_rates import EngineRates, LearnedRates
 from knapweedbridge_core.serving.engine_speed import EngineSpeed
-from knapweedbridge_core.serving.engine_teller import AddressedUpdate, EngineUpdates
+from knapweedbridge_core.serving.engine_updates import AddressedUpdate, EngineUpdates
 from knapweedbridge_core.serving.fingerprinting import (
     fingerprint,
     refusal_publishers,
--- a/packages/standins/src/knapweedbridge_standins/serving_load/owner.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_load/owner.py
@@ -17,7 +17,7 @@
     SpeedReports,
     WindowPacing,
 )
-from knapweedbridge_core.serving.engine_teller import (
+from knapweedbridge_core.serving.engine_updates import (
     IDLE_UPDATE_INTERVAL_S,
     LOAD_UPDATE_INTERVAL_S,
 )
