--- a/packages/core/src/knapweedbridge_core/serving/placement.py
+++ b/packages/core/src/knapweedbridge_core/serving/placement.py
@@ -18,7 +18,7 @@
 from knapweedbridge_core.serving.engine_rates import EngineRates, LearnedRates
 from knapweedbridge_core.serving.engine_speed import speed_factor
 from knapweedbridge_core.serving.load_times import WARM_LOAD_S, LoadTimes
-from knapweedbridge_core.serving.pause_price import LATE_S, paused_s
+from knapweedbridge_core.serving.pause_cost import LATE_S, paused_s
 from knapweedbridge_core.serving.placement_choices import (
     Choice,
     LoadOn,
