--- a/packages/core/src/knapweedbridge_core/serving/engine_updates.py
+++ b/packages/core/src/knapweedbridge_core/serving/engine_updates.py
@@ -64,7 +64,7 @@
         self._shown: dict[ModelRef, tuple[int, float]] = {}
         self._wanted_by: dict[ModelRef, set[str]] = {}
 
-    def wanted_by(self, daemon: str, model: ModelRef) -> None:
+    def add_waiter(self, daemon: str, model: ModelRef) -> None:
         """Note that a daemon waits for an adapter."""
         self._wanted_by.setdefault(model, set()).add(daemon)
 
--- a/packages/daemon/src/knapweedbridge_daemon/serving/engine_owning.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/engine_owning.py
@@ -128,7 +128,7 @@
     def wanted(self, daemon: str, model: ModelRef, version: int) -> None:
         """Take a daemon's wish for an adapter, which is answered at once."""
         self._askers.add(daemon)
-        self._updates.wanted_by(daemon, model)
+        self._updates.add_waiter(daemon, model)
         small = self._hub.cluster.is_small_pool
         if self.keeper.holds(model, version) and not small:
             # It has not heard of it yet, and no order will tell it. In a small pool
--- a/packages/standins/src/knapweedbridge_standins/serving_load/owner.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_load/owner.py
@@ -97,7 +97,7 @@
 
     def wanted(self, daemon: str, model: ModelRef) -> None:
         """Take a daemon's wish."""
-        self._updates.wanted_by(daemon, model)
+        self._updates.add_waiter(daemon, model)
         if self.keeper.holds(model, 0) and not self._pool.small:
             self._updates.request_snapshot(daemon)
         self.keeper.want(model, 0, self._pool.clock.now_s)
