--- a/bench/peer_messages.py
+++ b/bench/peer_messages.py
@@ -208,7 +208,7 @@
         for n, each in enumerate(packed):
             reader.feed(each)
             for value in reader:
-                owner.calls_running(f"h{n % DAEMONS}", decode(value))
+                owner.record_calls(f"h{n % DAEMONS}", decode(value))
             await anyio.sleep(MESSAGE_PAUSE_S)
 
     async with anyio.create_task_group() as tasks:
--- a/features/serving/steps/keeper_steps.py
+++ b/features/serving/steps/keeper_steps.py
@@ -33,7 +33,7 @@
 def both_in_use(context):
     context.keeper = keeper_with(2, ["a1", "a2"])
     calls = {adapter("a1"): 1, adapter("a2"): 1}
-    context.keeper.calls_running("d", calls, 0, NOW_S)
+    context.keeper.record_calls("d", calls, 0, NOW_S)
 
 
 @when("a third adapter is wanted")
@@ -49,7 +49,7 @@
 @then("when the calls of one end, that one is unloaded and the third loaded")
 def unloaded_then_loaded(context):
     keeper = context.keeper
-    keeper.calls_running("d", {adapter("a2"): 1}, 0, NOW_S + 0.2)
+    keeper.record_calls("d", {adapter("a2"): 1}, 0, NOW_S + 0.2)
     order = keeper.next_order(NOW_S + 0.3)
     assert (order.kind, order.model) == (OrderKind.UNLOAD, adapter("a1")), order
     keeper.answered(order, OrderAnswer.DONE, NOW_S + 0.3)
@@ -60,7 +60,7 @@
 @given("an owned engine with 3 places, both of two in use and one leaving")
 def one_leaving(context):
     keeper = keeper_with(3, ["a1", "a2", "a3"])
-    keeper.calls_running("d", {adapter("a1"): 1, adapter("a2"): 1}, 0, NOW_S)
+    keeper.record_calls("d", {adapter("a1"): 1, adapter("a2"): 1}, 0, NOW_S)
     keeper.want(adapter("a4"), 0, NOW_S + 0.1)
     order = keeper.next_order(NOW_S + 0.1)
     keeper.answered(order, OrderAnswer.STARTED, NOW_S + 0.1)
@@ -130,7 +130,7 @@
 @given("an owned engine with 1 place, in use by a daemon that falls silent")
 def silent_daemon(context):
     context.keeper = keeper_with(1, ["a1"])
-    context.keeper.calls_running("d", {adapter("a1"): 2}, 0, NOW_S)
+    context.keeper.record_calls("d", {adapter("a1"): 2}, 0, NOW_S)
 
 
 @when("another adapter is wanted 3 s later")
--- a/features/serving/steps/kept_view_steps.py
+++ b/features/serving/steps/kept_view_steps.py
@@ -223,7 +223,7 @@
             await anyio.sleep(0.02)
             owner.passes = 0
             for n in range(30):
-                owner.calls_running("h1", RunningCallsReport("e0", {"m": n + 1}, 0, 1))
+                owner.record_calls("h1", RunningCallsReport("e0", {"m": n + 1}, 0, 1))
                 await anyio.sleep(0.009)
             context.last_s = anyio.current_time()
             await anyio.sleep(0.4)
--- a/packages/core/src/knapweedbridge_core/serving/engine_controller.py
+++ b/packages/core/src/knapweedbridge_core/serving/engine_controller.py
@@ -155,7 +155,7 @@
             "unsure": self._unsure,
         }
 
-    def calls_running(
+    def record_calls(
         self, daemon: str, calls: dict[ModelRef, int], unread_tokens: int, now_s: float
     ) -> None:
         """Take all calls of one daemon on this engine."""
--- a/packages/daemon/src/knapweedbridge_daemon/serving/engine_owners.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/engine_owners.py
@@ -137,7 +137,7 @@
         elif isinstance(message, AdapterMissing):
             owner.missed(ModelRef(message.base, message.adapter))
         else:
-            owner.calls_running(daemon, message)
+            owner.record_calls(daemon, message)
 
     async def _give_up(self, daemon: str, message: OwnershipClaimed) -> None:
         owner = self._owned.get(message.endpoint)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/engine_owning.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/engine_owning.py
@@ -137,7 +137,7 @@
         self.keeper.want(model, version, anyio.current_time())
         self._work.set()
 
-    def calls_running(self, daemon: str, message: RunningCallsReport) -> None:
+    def record_calls(self, daemon: str, message: RunningCallsReport) -> None:
         """Take all calls of one daemon on the engine."""
         start = EndpointStart(message.endpoint, message.started_ms)
         if not start.may_be(self.endpoint.start):
@@ -150,7 +150,7 @@
             self.turns.sent(tokens)
         self.turns.record_pause(message.pause_s)
         self._speeds.take(daemon, message, now_s)
-        self.keeper.calls_running(daemon, found, message.unread_tokens, now_s)
+        self.keeper.record_calls(daemon, found, message.unread_tokens, now_s)
         self._updates.mark_calls_changed()
         self._note_calls()
 
--- a/packages/standins/src/knapweedbridge_standins/serving_histories/orders.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_histories/orders.py
@@ -56,7 +56,7 @@
         now_s += luck.choice([0.001, 0.02, 0.3])
         keeper.want(_adapter(luck), 0, now_s)
         if luck.random() < 0.3:
-            keeper.calls_running("d", {_adapter(luck): 1}, 0, now_s)
+            keeper.record_calls("d", {_adapter(luck): 1}, 0, now_s)
         while served.late and luck.random() < 0.3:
             served.carry_out(served.late.pop(0))
         reports.append(served.report())
--- a/packages/standins/src/knapweedbridge_standins/serving_load/owner.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_load/owner.py
@@ -106,7 +106,7 @@
     def running(self, daemon: str, calls: dict[ModelRef, int], unread: int) -> None:
         """Take a daemon's calls."""
         now_s = self._pool.clock.now_s
-        self.keeper.calls_running(daemon, calls, unread, now_s)
+        self.keeper.record_calls(daemon, calls, unread, now_s)
         self._updates.mark_calls_changed()
         self.work()
 
