--- a/features/serving/steps/decision_steps.py
+++ b/features/serving/steps/decision_steps.py
@@ -126,7 +126,7 @@
 @when("a load is taken to be done and calls are refused until {s:g} s after its order")
 def load_learnt(context, s):
     keeper = context.keeper
-    keeper.want(adapter("a1"), 0, NOW_S)
+    keeper.request_adapter(adapter("a1"), 0, NOW_S)
     keeper.answered(keeper.next_order(NOW_S), OrderAnswer.STARTED, NOW_S)
     for waited_ms in range(250, int(s * 1000)):
         keeper.missed(adapter("a1"), NOW_S + waited_ms / 1000)
@@ -135,7 +135,7 @@
 @then("the next load is taken to last {least:g} to {most:g} s")
 def next_load(context, least, most):
     keeper, then_s = context.keeper, NOW_S + 1
-    keeper.want(adapter("a2"), 0, then_s)
+    keeper.request_adapter(adapter("a2"), 0, then_s)
     keeper.answered(keeper.next_order(then_s), OrderAnswer.STARTED, then_s)
     took_s = keeper.places[adapter("a2")].ready_s - then_s
     assert least <= took_s <= most, took_s
--- a/features/serving/steps/keeper_steps.py
+++ b/features/serving/steps/keeper_steps.py
@@ -38,7 +38,7 @@
 
 @when("a third adapter is wanted")
 def third_wanted(context):
-    context.keeper.want(adapter("a3"), 0, NOW_S + 0.1)
+    context.keeper.request_adapter(adapter("a3"), 0, NOW_S + 0.1)
 
 
 @then("nothing is ordered")
@@ -61,7 +61,7 @@
 def one_leaving(context):
     keeper = keeper_with(3, ["a1", "a2", "a3"])
     keeper.record_calls("d", {adapter("a1"): 1, adapter("a2"): 1}, 0, NOW_S)
-    keeper.want(adapter("a4"), 0, NOW_S + 0.1)
+    keeper.request_adapter(adapter("a4"), 0, NOW_S + 0.1)
     order = keeper.next_order(NOW_S + 0.1)
     keeper.answered(order, OrderAnswer.STARTED, NOW_S + 0.1)
     assert keeper.needs_report
@@ -82,7 +82,7 @@
 
 @when('an order for "m/a1" gets no answer')
 def order_unanswered(context):
-    context.keeper.want(adapter("a1"), 0, NOW_S)
+    context.keeper.request_adapter(adapter("a1"), 0, NOW_S)
     context.order = context.keeper.next_order(NOW_S)
     context.keeper.answered(context.order, OrderAnswer.UNKNOWN, NOW_S + 0.1)
 
@@ -97,7 +97,7 @@
 @when('"m/a1" is loaded and a call is refused just after the expected end')
 def refused_after_end(context):
     keeper = context.keeper
-    keeper.want(adapter("a1"), 0, NOW_S)
+    keeper.request_adapter(adapter("a1"), 0, NOW_S)
     keeper.answered(keeper.next_order(NOW_S), OrderAnswer.STARTED, NOW_S)
     context.end_s = keeper.places[adapter("a1")].ready_s
     keeper.missed(adapter("a1"), context.end_s + 0.001)
@@ -117,7 +117,7 @@
 
 @when("a fourth adapter is wanted")
 def fourth_wanted(context):
-    context.keeper.want(adapter("a4"), 0, NOW_S)
+    context.keeper.request_adapter(adapter("a4"), 0, NOW_S)
     context.order = context.keeper.next_order(NOW_S)
 
 
@@ -135,7 +135,7 @@
 
 @when("another adapter is wanted 3 s later")
 def wanted_later(context):
-    context.keeper.want(adapter("a2"), 0, NOW_S + 3)
+    context.keeper.request_adapter(adapter("a2"), 0, NOW_S + 3)
     context.keeper.forget_silent(NOW_S + 3)
 
 
@@ -167,6 +167,6 @@
 
 @then("then adapters are loaded")
 def then_adapters(context):
-    context.keeper.want(adapter("a1"), 0, NOW_S + 4)
+    context.keeper.request_adapter(adapter("a1"), 0, NOW_S + 4)
     order = context.keeper.next_order(NOW_S + 4)
     assert order.model == adapter("a1"), order
--- a/packages/core/src/knapweedbridge_core/serving/engine_controller.py
+++ b/packages/core/src/knapweedbridge_core/serving/engine_controller.py
@@ -102,7 +102,7 @@
         self.long_prompts = LongPrompts()
         self.speed = EngineSpeed()
 
-    def want(self, model: ModelRef, version: int, now_s: float) -> None:
+    def request_adapter(self, model: ModelRef, version: int, now_s: float) -> None:
         """Take a daemon's wish for an adapter."""
         known = self._wants.get(model)
         if known is None:
@@ -141,7 +141,10 @@
         dict
             Counts of places by what keeps them from being given away.
         """
-        oldest_s = min((want.asked_s for want in self._wants.values()), default=now_s)
+        oldest_s = min(
+            (request_adapter.asked_s for request_adapter in self._wants.values()),
+            default=now_s,
+        )
         if now_s - oldest_s < STUCK_S:
             return None
         places = self.places.items()
@@ -228,13 +231,13 @@
         if missing is not None:
             return self._order(OrderKind.LOAD, missing, 0)
         coming = sum(place.ready_s > now_s for place in self.places.values())
-        for model, want in list(self._wants.items()):
-            if self._is_over(model, want, now_s):
+        for model, request_adapter in list(self._wants.items()):
+            if self._is_over(model, request_adapter, now_s):
                 del self._wants[model]
                 continue
             if coming >= COMING_MOST or model.base not in self.bases:
                 continue
-            order = self._order_toward(model, want, now_s)
+            order = self._order_toward(model, request_adapter, now_s)
             if order is not None:
                 return order
         return None
@@ -250,11 +253,16 @@
         ]
         return ModelRef(fitting[0].name) if fitting else None
 
-    def _is_over(self, model: ModelRef, want: AdapterRequest, now_s: float) -> bool:
-        return self.holds(model, want.version) or now_s - want.again_s > WANT_LIFE_S
+    def _is_over(
+        self, model: ModelRef, request_adapter: AdapterRequest, now_s: float
+    ) -> bool:
+        return (
+            self.holds(model, request_adapter.version)
+            or now_s - request_adapter.again_s > WANT_LIFE_S
+        )
 
     def _order_toward(
-        self, model: ModelRef, want: AdapterRequest, now_s: float
+        self, model: ModelRef, request_adapter: AdapterRequest, now_s: float
     ) -> Order | None:
         place = self.places.get(model)
         if place is not None:
@@ -262,9 +270,9 @@
             # calls meanwhile, so it is ordered only when none runs.
             if place.leaving or self.users(model):
                 return None
-            return self._order(OrderKind.LOAD, model, want.version)
+            return self._order(OrderKind.LOAD, model, request_adapter.version)
         if len(self.places) < self.limits.adapter_places:
-            return self._order(OrderKind.LOAD, model, want.version)
+            return self._order(OrderKind.LOAD, model, request_adapter.version)
         victim = self._victim(now_s)
         if victim is None:
             return None
--- a/packages/daemon/src/knapweedbridge_daemon/serving/engine_owning.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/engine_owning.py
@@ -134,7 +134,7 @@
             # It has not heard of it yet, and no order will tell it. In a small pool
             # each change is told to all at once.
             self._updates.request_snapshot(daemon)
-        self.keeper.want(model, version, anyio.current_time())
+        self.keeper.request_adapter(model, version, anyio.current_time())
         self._work.set()
 
     def record_calls(self, daemon: str, message: RunningCallsReport) -> None:
--- a/packages/standins/src/knapweedbridge_standins/serving_histories/orders.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_histories/orders.py
@@ -54,7 +54,7 @@
     reports = [served.report()]
     for _ in range(orders):
         now_s += luck.choice([0.001, 0.02, 0.3])
-        keeper.want(_adapter(luck), 0, now_s)
+        keeper.request_adapter(_adapter(luck), 0, now_s)
         if luck.random() < 0.3:
             keeper.record_calls("d", {_adapter(luck): 1}, 0, now_s)
         while served.late and luck.random() < 0.3:
--- a/packages/standins/src/knapweedbridge_standins/serving_load/owner.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_load/owner.py
@@ -100,7 +100,7 @@
         self._updates.add_waiter(daemon, model)
         if self.keeper.holds(model, 0) and not self._pool.small:
             self._updates.request_snapshot(daemon)
-        self.keeper.want(model, 0, self._pool.clock.now_s)
+        self.keeper.request_adapter(model, 0, self._pool.clock.now_s)
         self.work()
 
     def running(self, daemon: str, calls: dict[ModelRef, int], unread: int) -> None:
