--- a/bench/peer_messages.py
+++ b/bench/peer_messages.py
@@ -188,7 +188,7 @@
         hub, endpoint, limits, OwnerRecord("h0", 1, 7), send, calm, calm
     )
     shown = {model: 1 for model in MODELS}
-    owner.keeper.reported(EngineReport(0, ("m",), shown, {}), anyio.current_time())
+    owner.keeper.apply_report(EngineReport(0, ("m",), shown, {}), anyio.current_time())
     packed = [
         encode(
             RunningCallsReport(
--- a/features/serving/steps/keeper_steps.py
+++ b/features/serving/steps/keeper_steps.py
@@ -20,7 +20,7 @@
 def keeper_with(places, held, now_s=NOW_S, used_s=None):
     keeper = EngineController(limits(places), used_s)
     adapters = {adapter(name): 0 for name in held}
-    keeper.reported(EngineReport(0, ("m",), adapters, {}), now_s)
+    keeper.apply_report(EngineReport(0, ("m",), adapters, {}), now_s)
     return keeper
 
 
@@ -71,7 +71,7 @@
 @when("a free place comes by a report")
 def place_by_report(context):
     adapters = {adapter(name): 0 for name in ("a1", "a2")}
-    context.keeper.reported(EngineReport(1, ("m",), adapters, {}), NOW_S + 0.5)
+    context.keeper.apply_report(EngineReport(1, ("m",), adapters, {}), NOW_S + 0.5)
 
 
 @then("the wanted adapter is loaded")
@@ -148,7 +148,7 @@
 @given("an owned engine that started empty")
 def started_empty(context):
     context.keeper = EngineController(limits(2))
-    context.keeper.reported(EngineReport(0, (), {}, {}), NOW_S)
+    context.keeper.apply_report(EngineReport(0, (), {}, {}), NOW_S)
 
 
 @then("its base is ordered once, and reports are asked for until it is there")
@@ -159,9 +159,9 @@
     keeper.answered(order, OrderAnswer.STARTED, NOW_S)
     for second in (1, 2, 3):
         assert keeper.needs_report
-        keeper.reported(EngineReport(1, (), {}, {}, busy=True), NOW_S + second)
+        keeper.apply_report(EngineReport(1, (), {}, {}, busy=True), NOW_S + second)
         assert keeper.next_order(NOW_S + second) is None
-    keeper.reported(EngineReport(1, ("m",), {}, {}), NOW_S + 4)
+    keeper.apply_report(EngineReport(1, ("m",), {}, {}), NOW_S + 4)
     assert not keeper.needs_report
 
 
--- a/features/serving/steps/kept_view_steps.py
+++ b/features/serving/steps/kept_view_steps.py
@@ -217,7 +217,7 @@
             None,
             None,
         )
-        owner.keeper.reported(EngineReport(0, ("m",), {}, {}), anyio.current_time())
+        owner.keeper.apply_report(EngineReport(0, ("m",), {}, {}), anyio.current_time())
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(owner._work_on)
             await anyio.sleep(0.02)
--- a/packages/core/src/knapweedbridge_core/serving/engine_controller.py
+++ b/packages/core/src/knapweedbridge_core/serving/engine_controller.py
@@ -196,7 +196,7 @@
         )
         return max(0, self.limits.adapter_places - taken)
 
-    def reported(self, report: EngineReport, now_s: float) -> None:
+    def apply_report(self, report: EngineReport, now_s: float) -> None:
         """Take a report that was asked for after the last order's answer.
 
         A report that counts fewer orders than were accepted is from before them:
--- a/packages/daemon/src/knapweedbridge_daemon/serving/engine_owning.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/engine_owning.py
@@ -283,7 +283,7 @@
             return
         if self._is_of_another_start(report):
             return
-        self.keeper.reported(report, anyio.current_time())
+        self.keeper.apply_report(report, anyio.current_time())
         self._updates.mark_adapters_changed()
 
     def _is_of_another_start(self, report: EngineReport) -> bool:
--- a/packages/standins/src/knapweedbridge_standins/serving_histories/orders.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_histories/orders.py
@@ -62,7 +62,7 @@
         reports.append(served.report())
         if keeper.needs_report:
             # As old as the engine likes: some come from before the last orders.
-            keeper.reported(luck.choice(reports[-3:]), now_s)
+            keeper.apply_report(luck.choice(reports[-3:]), now_s)
         order = keeper.next_order(now_s)
         if order is not None:
             _send(order, served, keeper, luck, now_s)
--- a/packages/standins/src/knapweedbridge_standins/serving_load/owner.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_load/owner.py
@@ -38,7 +38,7 @@
         site = pool.site
         limits = EngineLimits(site.slots, 10**6, site.places, 1e5, 10.0)
         self.keeper = EngineController(limits, times=pool.daemons[daemon].load_times)
-        self.keeper.reported(pool.engines[name].report(), pool.clock.now_s)
+        self.keeper.apply_report(pool.engines[name].report(), pool.clock.now_s)
         self._updates = EngineUpdates(EndpointStart(name, 0), 1, self.keeper)
         self._ordering = False
         self._woken = False
@@ -135,7 +135,7 @@
         now_s = self._pool.clock.now_s
         if self.keeper.needs_report and now_s - self._reported_s >= REPORT_PAUSE_S:
             self._reported_s = now_s
-            self.keeper.reported(self._pool.engines[self._name].report(), now_s)
+            self.keeper.apply_report(self._pool.engines[self._name].report(), now_s)
             self._updates.mark_adapters_changed()
         if not self._ordering:
             order = self.keeper.next_order(now_s)
