--- a/packages/core/src/knapweedbridge_core/serving/engine_updates.py
+++ b/packages/core/src/knapweedbridge_core/serving/engine_updates.py
@@ -85,7 +85,7 @@
         self._calls_changed = True
 
     @property
-    def has_news(self) -> bool:
+    def has_changes(self) -> bool:
         """Whether something is to be told when its pause is over."""
         return self._held_changed or self._calls_changed
 
@@ -113,7 +113,7 @@
         """
         self._relays = set() if small else set(subscribers)
         since_s = now_s - self._told_s
-        news_due = self.has_news and since_s >= self._pause_s(small)
+        news_due = self.has_changes and since_s >= self._pause_s(small)
         still_due = not small and since_s >= IDLE_UPDATE_INTERVAL_S
         if news_due or still_due:
             return self._tell_changes(set(subscribers), now_s)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/engine_owning.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/engine_owning.py
@@ -238,8 +238,8 @@
         if self.keeper.needs_report:
             pause_s = REPORT_PAUSE_S
         elif self.keeper.wants:
-            pause_s = LOAD_UPDATE_INTERVAL_S if self._updates.has_news else 0.05
-        if self._updates.has_news:
+            pause_s = LOAD_UPDATE_INTERVAL_S if self._updates.has_changes else 0.05
+        if self._updates.has_changes:
             pause_s = min(pause_s, self._updates.due_s(small) + TIMER_S - now_s)
         return max(LEAST_PAUSE_S, pause_s)
 
--- a/packages/standins/src/knapweedbridge_standins/serving_load/owner.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_load/owner.py
@@ -169,7 +169,9 @@
     def _wake_later(self) -> None:
         if self._woken:
             return
-        busy = self.keeper.wants or self._updates.has_news or self.keeper.needs_report
+        busy = (
+            self.keeper.wants or self._updates.has_changes or self.keeper.needs_report
+        )
         if busy or not self._pool.small:
             self._woken = True
             self._pool.clock.after(
