--- a/packages/core/src/knapweedbridge_core/serving/cluster_state.py
+++ b/packages/core/src/knapweedbridge_core/serving/cluster_state.py
@@ -282,7 +282,7 @@
         endpoint = self.fleet.listed(record, now_s)
         limits = self.deployment and self.deployment.engine_limits(record.service)
         if limits:
-            endpoint.recent.most = limits.recent_adapters
+            endpoint.recent.max_adapters = limits.recent_adapters
         if endpoint is known:
             return before != endpoint.listing
         # An engine that comes back under its id may have its owner already.
--- a/packages/core/src/knapweedbridge_core/serving/recent_adapters.py
+++ b/packages/core/src/knapweedbridge_core/serving/recent_adapters.py
@@ -22,15 +22,15 @@
     ----------
     models : iterable of ModelRef
         What is known at first.
-    most : int
+    max_adapters : int
         Adapters that are remembered.
     """
 
     def __init__(
-        self, models: Iterable[ModelRef] = (), most: int = RECENT_PRIOR
+        self, models: Iterable[ModelRef] = (), max_adapters: int = RECENT_PRIOR
     ) -> None:
         self._models = OrderedDict.fromkeys(models)
-        self.most = most
+        self.max_adapters = max_adapters
 
     def __contains__(self, model: ModelRef) -> bool:
         return model in self._models
@@ -42,7 +42,7 @@
         """Take that an adapter was unloaded."""
         self._models[model] = None
         self._models.move_to_end(model)
-        while len(self._models) > self.most:
+        while len(self._models) > self.max_adapters:
             self._models.popitem(last=False)
 
     def discard(self, model: ModelRef) -> None:
