--- a/packages/core/src/knapweedbridge_core/serving/pause_cost.py
+++ b/packages/core/src/knapweedbridge_core/serving/pause_cost.py
@@ -20,7 +20,7 @@
 period, which takes 2.5 times as long, it is just as long as is accepted."""
 
 
-def paused_s(endpoint: Endpoint, ask: PlacementAsk, rates: EngineRates) -> float:
+def pause_cost_s(endpoint: Endpoint, ask: PlacementAsk, rates: EngineRates) -> float:
     """Return what the pauses on an engine speak against it, in seconds of price.
 
     Parameters
--- a/packages/core/src/knapweedbridge_core/serving/placement.py
+++ b/packages/core/src/knapweedbridge_core/serving/placement.py
@@ -18,7 +18,7 @@
 from knapweedbridge_core.serving.engine_rates import EngineRates, LearnedRates
 from knapweedbridge_core.serving.engine_speed import speed_factor
 from knapweedbridge_core.serving.load_times import WARM_LOAD_S, LoadTimes
-from knapweedbridge_core.serving.pause_cost import LATE_S, paused_s
+from knapweedbridge_core.serving.pause_cost import LATE_S, pause_cost_s
 from knapweedbridge_core.serving.placement_choices import (
     Choice,
     LoadOn,
@@ -237,7 +237,7 @@
         remote = endpoint.record.data_centre != ask.data_centre
         failing_s = FAILING_S * endpoint.failing_share(now_s)
         spread_s = UNREAD_S * endpoint.unread_tokens + _batch_s(endpoint)
-        late_s = self._late_s(endpoint, ask) + paused_s(endpoint, ask, self.rates)
+        late_s = self._late_s(endpoint, ask) + pause_cost_s(endpoint, ask, self.rates)
         return REMOTE_S * remote + spread_s + failing_s + late_s
 
     def _late_s(self, endpoint: Endpoint, ask: PlacementAsk) -> float:
