--- a/packages/core/src/knapweedbridge_core/serving/engine_rates.py
+++ b/packages/core/src/knapweedbridge_core/serving/engine_rates.py
@@ -232,7 +232,7 @@
         times /= max(1.0, level)
         slow = slowness(endpoint, now_s)
         # What one engine's slowness explains says nothing of the others.
-        fit.saw(prompt_tokens, unread_tokens, took_s / slow)
+        fit.add_call(prompt_tokens, unread_tokens, took_s / slow)
         endpoint.slowness = slow + SLOW_STEP * (_within(times) - slow)
         endpoint.slowness_s = now_s
 
--- a/packages/core/src/knapweedbridge_core/serving/first_event_fit.py
+++ b/packages/core/src/knapweedbridge_core/serving/first_event_fit.py
@@ -64,7 +64,7 @@
         own_s = self.prompt_s * prompt_tokens
         return self.base_s + own_s + self.unread_s * unread_tokens
 
-    def saw(self, prompt_tokens: int, unread_tokens: int, took_s: float) -> None:
+    def add_call(self, prompt_tokens: int, unread_tokens: int, took_s: float) -> None:
         """Take one call's time."""
         self.calls += 1
         took_s = min(
