--- a/features/serving/steps/decision_steps.py
+++ b/features/serving/steps/decision_steps.py
@@ -84,7 +84,7 @@
     hold(context, "a", "m/x")
     hold(context, "b", "m/x")
     for _ in range(20):
-        engine(context, "a").note_result(True, NOW_S)
+        engine(context, "a").record_result(True, NOW_S)
 
 
 @given('b gets "m/x" in {seconds:g} s')
--- a/features/serving/steps/restart_steps.py
+++ b/features/serving/steps/restart_steps.py
@@ -74,7 +74,7 @@
     context.fleet.listed(record(started, ["m/x"]), NOW_S)
     endpoint.record_unreachable(NOW_S)
     for _ in range(5):
-        endpoint.note_result(True, NOW_S)
+        endpoint.record_result(True, NOW_S)
     context.before = endpoint
 
 
@@ -109,7 +109,7 @@
 @when("it starts at {started:d} and a call of before fails")
 def call_of_before(context, started):
     context.fleet.listed(record(started), NOW_S)
-    context.before.note_result(True, NOW_S)
+    context.before.record_result(True, NOW_S)
     context.before.record_unreachable(NOW_S)
 
 
--- a/packages/core/src/knapweedbridge_core/serving/endpoint.py
+++ b/packages/core/src/knapweedbridge_core/serving/endpoint.py
@@ -296,7 +296,7 @@
         age_s = max(0.0, now_s - self.failure_s)
         return self.failure_share * 0.5 ** (age_s / FAILURE_HALF_LIFE_S)
 
-    def note_result(self, failed: bool, now_s: float) -> None:
+    def record_result(self, failed: bool, now_s: float) -> None:
         """Add one call's end to the share of failures."""
         share = self.failing_share(now_s)
         self.failure_share = share + 0.2 * ((1.0 if failed else 0.0) - share)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/attempt_records.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/attempt_records.py
@@ -178,7 +178,7 @@
         first_s = forecast.first_s
         if end not in (AttemptEnd.ABANDONED, AttemptEnd.WITHHELD):
             failed = end in (AttemptEnd.FAILED, AttemptEnd.BROKEN)
-            target.endpoint.note_result(failed, now_s)
+            target.endpoint.record_result(failed, now_s)
         self._hub.measures.count("attempts", end.value)
         self._hub.log.info(
             "attempt.ended",
