--- a/packages/core/src/knapweedbridge_core/serving/endpoint_paths.py
+++ b/packages/core/src/knapweedbridge_core/serving/endpoint_paths.py
@@ -164,7 +164,7 @@
         )
 
     @property
-    def are_confirmed(self) -> bool:
+    def all_confirmed(self) -> bool:
         """Whether all paths found cut are confirmed."""
         return all(path.is_confirmed for path in self._cut.values())
 
--- a/packages/daemon/src/knapweedbridge_daemon/serving/endpoint_connector.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/endpoint_connector.py
@@ -266,7 +266,7 @@
             if paths.may_all_be_cut:
                 await self._try_others()
             await self._look(Destination(address, is_direct=True))
-            are_known = paths.are_confirmed and not paths.may_all_be_cut
+            are_known = paths.all_confirmed and not paths.may_all_be_cut
             await anyio.sleep(TRY_S if are_known else TRY_SOON_S)
 
     async def _try_others(self) -> None:
