--- a/bench/peer_messages.py
+++ b/bench/peer_messages.py
@@ -46,9 +46,9 @@
 )
 from knapweedbridge_core.serving.deployment import WeightedService
 from knapweedbridge_core.serving.messages import (
+    CallsReport,
     EngineChanged,
     EngineTold,
-    RunningCallsReport,
     StoreUpdate,
 )
 from knapweedbridge_daemon.peer_sockets import PeerListener
@@ -66,7 +66,7 @@
 ROWS = 27
 MESSAGES = 1000
 MESSAGE_PAUSE_S = 0.01
-"""Pause between `RunningCallsReport` messages: an owner's task tells 3 times a second."""
+"""Pause between `CallsReport` messages: an owner's task tells 3 times a second."""
 
 ROUNDS = 5
 STARTS = 10
@@ -171,7 +171,7 @@
 
 
 async def calls_us() -> float:
-    """Measure a `RunningCallsReport` message at an owner, and what its task does then."""
+    """Measure a `CallsReport` message at an owner, and what its task does then."""
     hub = make_hub()
     hub.lease.ends_s = float("inf")
     tell_engines(hub)
@@ -191,7 +191,7 @@
     owner.keeper.apply_report(EngineReport(0, ("m",), shown, {}), anyio.current_time())
     packed = [
         encode(
-            RunningCallsReport(
+            CallsReport(
                 *(f"e{0}", {str(MODELS[n % PLACES]): 1 + n % 2}, 300, 1),
                 *(0.05, [900] if n % 3 == 0 else []),
             )
@@ -258,7 +258,7 @@
         await heard.wait()
         heard.clear()
 
-    message = RunningCallsReport("e0", {"m/a1": 1}, 300, 1, 0.05, [900])
+    message = CallsReport("e0", {"m/a1": 1}, 300, 1, 0.05, [900])
     dialling = Peers("h0", b"s", 1.5, submit)
     dialled = Peers("h1", b"s", 1.5, submit)
     listener = PeerListener()
--- a/features/serving/steps/kept_view_steps.py
+++ b/features/serving/steps/kept_view_steps.py
@@ -29,7 +29,7 @@
     OwnerNamed,
 )
 from knapweedbridge_core.serving.engine_calls import CALLS_MAX_AGE_S, EngineCalls
-from knapweedbridge_core.serving.messages import EngineTold, RunningCallsReport
+from knapweedbridge_core.serving.messages import CallsReport, EngineTold
 from knapweedbridge_daemon.serving.engine_owning import EngineOwner
 from knapweedbridge_daemon.serving.lease_keeping import LeaseKeeper
 from knapweedbridge_daemon.serving.measures import Measures
@@ -223,7 +223,7 @@
             await anyio.sleep(0.02)
             owner.passes = 0
             for n in range(30):
-                owner.record_calls("h1", RunningCallsReport("e0", {"m": n + 1}, 0, 1))
+                owner.record_calls("h1", CallsReport("e0", {"m": n + 1}, 0, 1))
                 await anyio.sleep(0.009)
             context.last_s = anyio.current_time()
             await anyio.sleep(0.4)
--- a/packages/core/src/knapweedbridge_core/serving/messages.py
+++ b/packages/core/src/knapweedbridge_core/serving/messages.py
@@ -35,7 +35,7 @@
 
 
 @message(tag="CallsRunning")
-class RunningCallsReport:
+class CallsReport:
     """All calls of a daemon on one engine; this replaces what it said before.
 
     Parameters
--- a/packages/daemon/src/knapweedbridge_daemon/serving/engine_observations.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/engine_observations.py
@@ -48,7 +48,7 @@
         return seen
 
     def take(self, start: EndpointStart) -> tuple[list[list[float]], list[float]]:
-        """Return, once, first events and gaps as `RunningCallsReport` holds them."""
+        """Return, once, first events and gaps as `CallsReport` holds them."""
         seen = self._seen.pop(start, None)
         if seen is None:
             return [], []
--- a/packages/daemon/src/knapweedbridge_daemon/serving/engine_owners.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/engine_owners.py
@@ -7,10 +7,10 @@
 from knapweedbridge_core.serving.messages import (
     AdapterLoadRequest,
     AdapterMissing,
+    CallsReport,
     EngineSnapshotRequest,
     OwnershipClaimed,
     OwnershipReleased,
-    RunningCallsReport,
     TurnRequest,
 )
 from knapweedbridge_core.serving.ownership import OwnerRecord
@@ -26,7 +26,7 @@
 ToOwner = (
     AdapterLoadRequest
     | AdapterMissing
-    | RunningCallsReport
+    | CallsReport
     | EngineSnapshotRequest
     | TurnRequest
     | OwnershipClaimed
--- a/packages/daemon/src/knapweedbridge_daemon/serving/engine_owning.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/engine_owning.py
@@ -22,9 +22,9 @@
     LOAD_UPDATE_INTERVAL_S,
 )
 from knapweedbridge_core.serving.messages import (
+    CallsReport,
     OwnerAck,
     OwnershipClaimed,
-    RunningCallsReport,
 )
 from knapweedbridge_core.serving.ownership import OwnerRecord
 from knapweedbridge_core.serving.prompt_pacing import LEAST_PAUSE_S
@@ -137,7 +137,7 @@
         self.keeper.request_adapter(model, version, anyio.current_time())
         self._work.set()
 
-    def record_calls(self, daemon: str, message: RunningCallsReport) -> None:
+    def record_calls(self, daemon: str, message: CallsReport) -> None:
         """Take all calls of one daemon on the engine."""
         start = EndpointStart(message.endpoint, message.started_ms)
         if not start.may_be(self.endpoint.start):
--- a/packages/daemon/src/knapweedbridge_daemon/serving/engine_speeds.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/engine_speeds.py
@@ -1,7 +1,7 @@
 """Learns the speed of one engine that this daemon owns, and tells of it."""
 
 from knapweedbridge_core.serving import Endpoint, EngineController, SpeedReports
-from knapweedbridge_core.serving.messages import RunningCallsReport
+from knapweedbridge_core.serving.messages import CallsReport
 from knapweedbridge_daemon.serving.hub import Hub
 
 CHANGE = 1.2
@@ -37,7 +37,7 @@
         self._looked_s = float("-inf")
         self._in_spell = False
 
-    def take(self, daemon: str, message: RunningCallsReport, now_s: float) -> None:
+    def take(self, daemon: str, message: CallsReport, now_s: float) -> None:
         """Take what a daemon reports of the engine's responses."""
         if not (self._learns and (message.first_events or message.gaps)):
             return
--- a/packages/daemon/src/knapweedbridge_daemon/serving/running_calls.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/running_calls.py
@@ -6,7 +6,7 @@
 import anyio
 
 from knapweedbridge_core.serving import Endpoint, EndpointStart, ModelRef
-from knapweedbridge_core.serving.messages import RunningCallsReport
+from knapweedbridge_core.serving.messages import CallsReport
 from knapweedbridge_daemon.serving.engine_observations import EngineObservations
 from knapweedbridge_daemon.serving.hub import Hub, Send
 
@@ -172,7 +172,7 @@
         self._calls[start] = calls
         self._told_s[start] = anyio.current_time()
         if endpoint.owner:
-            told = RunningCallsReport(
+            told = CallsReport(
                 endpoint.name,
                 dict(calls),
                 endpoint.own_unread_tokens,
