--- a/features/load/steps/load_steps.py
+++ b/features/load/steps/load_steps.py
@@ -88,7 +88,7 @@
 
 
 def strict(context):
-    with mock.patch.object(late_admission, "SPARE_MOST", 0.0):
+    with mock.patch.object(late_admission, "MAX_DELAY_OBJECTIVES", 0.0):
         return play(
             context.site,
             LeastCostPlacement(),
--- a/packages/core/src/knapweedbridge_core/serving/late_admission.py
+++ b/packages/core/src/knapweedbridge_core/serving/late_admission.py
@@ -12,7 +12,7 @@
 from knapweedbridge_core.serving.placement import EnginePlacement
 from knapweedbridge_core.serving.placement_choices import Choice, PlacementAsk, TooLate
 
-SPARE_MOST = 1.0
+MAX_DELAY_OBJECTIVES = 1.0
 """Objectives by which an answer may be late while none are: one that is asked for again
 comes after one to three seconds."""
 
@@ -81,4 +81,4 @@
         self._noted_s = now_s
 
     def _spare(self) -> float:
-        return SPARE_MOST * max(0.0, 1.0 - self._late_share / CROWDED_SHARE)
+        return MAX_DELAY_OBJECTIVES * max(0.0, 1.0 - self._late_share / CROWDED_SHARE)
