--- a/bench/accounts.py
+++ b/bench/accounts.py
@@ -17,7 +17,7 @@
     QuotaUnit,
     split,
 )
-from knapweedbridge_core.serving.messages import QuotaGrant, QuotaRequest
+from knapweedbridge_core.serving.messages import QuotaRequest, QuotaResponse
 
 CALLS = 50_000
 ACCOUNTS = 1_000
@@ -64,7 +64,7 @@
     def ask(number: int) -> None:
         over_the_wire(QuotaRequest("account-1", CALL_UNITS, 0, 0))
         given = bucket.give(part, CALL_UNITS, 0, 0, 1.0 + number / 1e4)
-        over_the_wire(QuotaGrant("account-1", given.units, given.wait_s))
+        over_the_wire(QuotaResponse("account-1", given.units, given.wait_s))
 
     figures = {
         "key_us": cost_us(look_up),
--- a/packages/core/src/knapweedbridge_core/serving/messages.py
+++ b/packages/core/src/knapweedbridge_core/serving/messages.py
@@ -289,7 +289,7 @@
 
 
 @message(tag="ShareGiven")
-class QuotaGrant:
+class QuotaResponse:
     """A keeper gives units of its part, or says after how long it may.
 
     Parameters
--- a/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
@@ -13,8 +13,8 @@
     EngineSnapshotRequest,
     EngineTold,
     OwnerAck,
-    QuotaGrant,
     QuotaRequest,
+    QuotaResponse,
     RelayRequest,
     StoreMark,
     StoreUpdate,
@@ -87,7 +87,7 @@
             TurnGrant: self._take_turns,
             OwnerAck: self._take_answered,
         }
-        takers |= dict.fromkeys((QuotaRequest, QuotaGrant), self.shares.heard)
+        takers |= dict.fromkeys((QuotaRequest, QuotaResponse), self.shares.heard)
         takers |= dict.fromkeys(get_args(OfLosses), self.crashes.heard)
         of_calls = get_args(OfPlain) + get_args(OfPermits)
         takers |= dict.fromkeys(of_calls, self._take_of_calls)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/quota_shares.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/quota_shares.py
@@ -6,8 +6,8 @@
 
 import anyio
 
-from knapweedbridge_core.serving import ClientAccount, QuotaBalance, QuotaGrant
-from knapweedbridge_core.serving.messages import QuotaGrant, QuotaRequest
+from knapweedbridge_core.serving import ClientAccount, QuotaBalance, QuotaResponse
+from knapweedbridge_core.serving.messages import QuotaRequest, QuotaResponse
 from knapweedbridge_daemon.serving.dialects import Refusal
 from knapweedbridge_daemon.serving.hub import Hub, Send
 from knapweedbridge_daemon.serving.quota_parts import QuotaParts
@@ -157,7 +157,7 @@
             waiter.has_units = True
             waiter.done.set()
 
-    async def heard(self, daemon: str, message: QuotaRequest | QuotaGrant) -> None:
+    async def heard(self, daemon: str, message: QuotaRequest | QuotaResponse) -> None:
         """Take a daemon's question to a keeper, or a keeper's answer."""
         if isinstance(message, QuotaRequest):
             await self._asked(daemon, message)
@@ -167,17 +167,19 @@
     async def _asked(self, daemon: str, message: QuotaRequest) -> None:
         given = self.parts.give(message)
         self._hub.measures.count("quota", "given" if given.units else "not_given")
-        answer = QuotaGrant(message.account, given.units, given.wait_s, given.is_known)
+        answer = QuotaResponse(
+            message.account, given.units, given.wait_s, given.is_known
+        )
         await self._send(daemon, answer)
 
-    async def _given(self, keeper: str, message: QuotaGrant) -> None:
+    async def _given(self, keeper: str, message: QuotaResponse) -> None:
         purse = self._purses.get(message.account)
         if purse is None:
             return
         now_s = anyio.current_time()
         if message.is_known:
             purse.held.answered(
-                keeper, QuotaGrant(message.units, message.wait_s), now_s
+                keeper, QuotaResponse(message.units, message.wait_s), now_s
             )
         else:
             purse.held.unanswered(keeper, now_s)
