--- a/features/prompt_parts/steps/ledger_steps.py
+++ b/features/prompt_parts/steps/ledger_steps.py
@@ -13,7 +13,7 @@
     refusal_key,
     refusal_publishers,
 )
-from knapweedbridge_core.serving.part_ledger import MAX_CALLS_PER_LOSS, MOST_SUSPECTS
+from knapweedbridge_core.serving.part_ledger import MAX_CALLS_PER_LOSS, MAX_SUSPECTS
 from knapweedbridge_daemon.serving.blame_notifier import BlameNotifier
 
 NOW_S = 1000.0
@@ -205,7 +205,7 @@
         mark = fingerprint("", "a", "h", b"GET", b"/%d" % number, b"")
         ledger.ended(mark, start, NOW_S, (f"p{number}",), NOW_S - 1)
     (context.found,) = ledger.lost(start, NOW_S).values()
-    assert len(ledger.parts) <= MOST_SUSPECTS
+    assert len(ledger.parts) <= MAX_SUSPECTS
 
 
 @then("at most {most:d} calls are told")
--- a/packages/core/src/knapweedbridge_core/serving/part_ledger.py
+++ b/packages/core/src/knapweedbridge_core/serving/part_ledger.py
@@ -40,7 +40,7 @@
 """How long an answer shows that a part is sound."""
 
 MOST_SOUND = 4096
-MOST_SUSPECTS = 1000
+MAX_SUSPECTS = 1000
 MAX_CALLS_PER_LOSS = 64
 """Calls that are held against one loss, of one host."""
 
@@ -153,7 +153,7 @@
         return sorted(sound)
 
     def _bound(self) -> None:
-        while len(self._suspects) > MOST_SUSPECTS:
+        while len(self._suspects) > MAX_SUSPECTS:
             table = self._suspects
             oldest = min(
                 table,
