--- a/features/prompt_parts/steps/part_steps.py
+++ b/features/prompt_parts/steps/part_steps.py
@@ -53,7 +53,7 @@
     context.traffic = Traffic(path, tuple(range(3)))
     await context.traffic.warm_up()
     context.pool = crash_by_parts(path, "refuses")
-    with mock.patch.object(suspect_parts, "LAPSE_S", lapse):
+    with mock.patch.object(suspect_parts, "FIRST_REFUSAL_S", lapse):
         await context.traffic.come(int(seconds / COMES_AGAIN_S))
 
 
--- a/packages/core/src/knapweedbridge_core/serving/suspect_parts.py
+++ b/packages/core/src/knapweedbridge_core/serving/suspect_parts.py
@@ -7,7 +7,7 @@
 from knapweedbridge_core.blame import LAPSE_GROWTH
 from knapweedbridge_core.serving.prompt_parts import PART_PREFIX
 
-LAPSE_S = 60.0
+FIRST_REFUSAL_S = 60.0
 """How long a part is refused at first; each later refusal lasts ten times as long."""
 
 LONGEST_LAPSE_S = 86_400.0
@@ -78,7 +78,7 @@
     @property
     def lapses_s(self) -> float:
         """When what is held against it lapses."""
-        lapse_s = LAPSE_S * LAPSE_GROWTH**self.refusals
+        lapse_s = FIRST_REFUSAL_S * LAPSE_GROWTH**self.refusals
         return self.last_s + min(LONGEST_LAPSE_S, lapse_s)
 
     @property
