--- a/packages/core/src/knapweedbridge_core/serving/crashes.py
+++ b/packages/core/src/knapweedbridge_core/serving/crashes.py
@@ -29,7 +29,7 @@
     SETTLE_S,
     PartLedger,
 )
-from knapweedbridge_core.serving.suspect_parts import LostCall, parts_refused
+from knapweedbridge_core.serving.suspect_parts import LostCall, refused_parts
 
 LAPSE_S = 60.0
 """How long blame holds at first; callers give up on such a call within seconds."""
@@ -244,14 +244,14 @@
 
     def record_published(self, mark: str, for_s: float, now_s: float) -> None:
         """Record that the store says for how long a call is refused."""
-        if parts_refused(mark):
+        if refused_parts(mark):
             self.parts.record_published(mark, for_s, now_s)
         else:
             self._published[mark] = now_s + for_s
 
     def record_unpublished(self, mark: str, now_s: float) -> None:
         """Record that the store says nothing of a call any more."""
-        if parts_refused(mark):
+        if refused_parts(mark):
             self.parts.record_unpublished(mark, now_s)
         else:
             self._published.pop(mark, None)
--- a/packages/core/src/knapweedbridge_core/serving/part_ledger.py
+++ b/packages/core/src/knapweedbridge_core/serving/part_ledger.py
@@ -18,8 +18,8 @@
     LostCall,
     PartLoss,
     SuspectPart,
-    parts_refused,
     refusal_key,
+    refused_parts,
 )
 
 REQUESTS_REFUSED = 2
@@ -115,7 +115,7 @@
         marks = [
             mark
             for mark in self._published
-            if part in (of_mark := parts_refused(mark))
+            if part in (of_mark := refused_parts(mark))
             and not self.unproven(of_mark, now_s)
         ]
         for mark in marks:
@@ -172,7 +172,7 @@
 
     def record_published(self, mark: str, for_s: float, now_s: float) -> None:
         """Record that the store says for how long prompts are refused."""
-        parts = parts_refused(mark)
+        parts = refused_parts(mark)
         if self.unproven(parts, now_s):
             self._published[mark] = now_s + for_s
         else:
@@ -190,7 +190,7 @@
 
     def suspected(self, parts: Iterable[str], now_s: float) -> list[str]:
         """Return the parts that were lost with an endpoint, or refused before."""
-        lapsed = {part for mark in self._published for part in parts_refused(mark)}
+        lapsed = {part for mark in self._published for part in refused_parts(mark)}
         return [
             part
             for part in self.unproven(parts, now_s)
@@ -227,7 +227,7 @@
         for mark, until_s in list(self._published.items()):
             if now_s > until_s + LONGEST_LAPSE_S:
                 del self._published[mark]
-            elif parts_refused(mark) <= set(parts):
+            elif refused_parts(mark) <= set(parts):
                 until_s += self.turn_of(mark) * TRIAL_TURN_S
                 longest_s = max(longest_s, until_s - now_s)
         return longest_s
--- a/packages/core/src/knapweedbridge_core/serving/suspect_parts.py
+++ b/packages/core/src/knapweedbridge_core/serving/suspect_parts.py
@@ -20,7 +20,7 @@
     return SEPARATOR.join((PART_PREFIX, *sorted(parts)))
 
 
-def parts_refused(mark: str) -> frozenset[str]:
+def refused_parts(mark: str) -> frozenset[str]:
     """Return the parts that a refusal in the store is about; empty: a whole call."""
     kind, *parts = mark.split(SEPARATOR)
     return frozenset(parts) if kind == PART_PREFIX else frozenset()
