--- a/features/admission/steps/judgement_steps.py
+++ b/features/admission/steps/judgement_steps.py
@@ -75,7 +75,7 @@
 )
 def is_judged(context, left, spent, here, choice):
     case = make_case(0, 1, left, spent, here, may_have_run=choice == "ran")
-    context.verdict = context.policy.judge(case, CHOICES[choice], NOW_S)
+    context.verdict = context.policy.decide(case, CHOICES[choice], NOW_S)
 
 
 @then("it is {verdict}")
@@ -103,10 +103,10 @@
     for n in range(sent):
         began_s = NOW_S - 2.0 + 2.0 * n / sent
         case = make_case(n, here_s=NOW_S - began_s)
-        context.policy.judge(case, NoEngine(), began_s)
+        context.policy.decide(case, NoEngine(), began_s)
         context.policy.left(case, began_s, sent=True)
     cases = [make_case(10_000 + n) for n in range(more)]
-    context.told = [told(context.policy.judge(c, NoEngine(), NOW_S)) for c in cases]
+    context.told = [told(context.policy.decide(c, NoEngine(), NOW_S)) for c in cases]
 
 
 @then(
@@ -123,10 +123,10 @@
     """Let requests wait, each after one that was sent, so that there is room."""
     for n in range(40):
         sent = make_case(20_000 + n)
-        policy.judge(sent, NoEngine(), NOW_S)
+        policy.decide(sent, NoEngine(), NOW_S)
         policy.left(sent, NOW_S, sent=True)
     for case in cases:
-        assert isinstance(policy.judge(case, NoEngine(), NOW_S), Wait)
+        assert isinstance(policy.decide(case, NoEngine(), NOW_S), Wait)
 
 
 @when('requests wait with rank and deadline "{listed}", and one place is left')
@@ -154,23 +154,23 @@
 @when("a waiting request's caller leaves")
 def caller_leaves(context):
     cases = [make_case(n) for n in range(3)]
-    judged = [told(context.policy.judge(each, NoEngine(), NOW_S)) for each in cases]
+    judged = [told(context.policy.decide(each, NoEngine(), NOW_S)) for each in cases]
     assert judged == ["waiting", "waiting", "refused"], judged
     context.policy.left(cases[0], NOW_S, sent=False)
 
 
 @then("the next overdue request waits")
 def next_waits(context):
-    assert told(context.policy.judge(make_case(3), NoEngine(), NOW_S)) == "waiting"
+    assert told(context.policy.decide(make_case(3), NoEngine(), NOW_S)) == "waiting"
 
 
 @when("{number:d} overdue requests with {left:g} s left are refused")
 def are_refused(context, number, left):
-    judge = context.policy.judge
+    decide = context.policy.decide
     for n in range(2):
-        assert told(judge(make_case(n), NoEngine(), NOW_S)) == "waiting"
+        assert told(decide(make_case(n), NoEngine(), NOW_S)) == "waiting"
     cases = [make_case(n, left_s=left) for n in range(2, number + 2)]
-    context.verdicts = [judge(case, NoEngine(), NOW_S) for case in cases]
+    context.verdicts = [decide(case, NoEngine(), NOW_S) for case in cases]
 
 
 @then("they are to come back within {most:g} s, and not all at once")
@@ -186,14 +186,14 @@
 def same_comes(context, after, spent):
     policy = context.policy
     for n in (10, 11):
-        policy.judge(make_case(n, here_s=after), NoEngine(), NOW_S - after)
+        policy.decide(make_case(n, here_s=after), NoEngine(), NOW_S - after)
     refused = make_case(1, spent_s=0.0, here_s=after, mark="same")
-    verdict = policy.judge(refused, CHOICES["late"], NOW_S - after)
+    verdict = policy.decide(refused, CHOICES["late"], NOW_S - after)
     assert isinstance(verdict, Reject), verdict
     policy.left(make_case(10), NOW_S, sent=False)
     again = make_case(2, spent_s=spent, mark="same")
-    policy.judge(again, NoEngine(), NOW_S)
-    context.verdict = policy.judge(again, SEND, NOW_S)
+    policy.decide(again, NoEngine(), NOW_S)
+    context.verdict = policy.decide(again, SEND, NOW_S)
 
 
 @then("a judgement with {number:d} waiting requests takes at most {most:g} ms")
@@ -201,7 +201,7 @@
     policy, engines = context.policy, [make_engine() for _ in range(30)]
     for n in range(400):
         sent = make_case(20_000 + n)
-        policy.judge(sent, NoEngine(), NOW_S)
+        policy.decide(sent, NoEngine(), NOW_S)
         policy.left(sent, NOW_S, sent=True)
     queue_up(policy, [make_case(n) for n in range(number)])
     rounds, case = 200, make_case(3)
@@ -209,7 +209,7 @@
     for _ in range(rounds):
         policy.eligible_engines(case, engines, NOW_S)
         policy.patience_s(case, False, NOW_S)
-        policy.judge(case, NoEngine(), NOW_S)
+        policy.decide(case, NoEngine(), NOW_S)
     took_ms = (time.process_time() - began_s) / rounds * 1000
     print(f"{took_ms * 1000:.0f} us a judgement")
     assert took_ms <= most, took_ms
--- a/packages/core/src/knapweedbridge_core/serving/overload.py
+++ b/packages/core/src/knapweedbridge_core/serving/overload.py
@@ -130,7 +130,7 @@
         """Return the engines among which a request is placed."""
 
     @abstractmethod
-    def judge(self, call: PendingRequest, choice: Choice, now_s: float) -> Verdict:
+    def decide(self, call: PendingRequest, choice: Choice, now_s: float) -> Verdict:
         """Decide on a request for which a placement has made its choice."""
 
     @abstractmethod
@@ -172,7 +172,7 @@
         """See `OverloadPolicy.eligible_engines`."""
         return engines
 
-    def judge(self, call: PendingRequest, choice: Choice, now_s: float) -> Verdict:
+    def decide(self, call: PendingRequest, choice: Choice, now_s: float) -> Verdict:
         """See `OverloadPolicy.judge`."""
         if not isinstance(choice, TooLate):
             return Admit(choice)
@@ -241,7 +241,7 @@
         place = _place_in_queue(call)
         return sum(_place_in_queue(each) < place for each in self._waiting.values())
 
-    def judge(self, call: PendingRequest, choice: Choice, now_s: float) -> Verdict:
+    def decide(self, call: PendingRequest, choice: Choice, now_s: float) -> Verdict:
         """See `OverloadPolicy.judge`."""
         if call.may_have_run:
             return _admit_late(choice)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/placing.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/placing.py
@@ -120,7 +120,7 @@
             now_s = anyio.current_time()
             choice = self._choose(call, model, case, now_s)
             call.last_choice = type(choice).__name__
-            verdict = self._hub.overload.judge(case, choice, now_s)
+            verdict = self._hub.overload.decide(case, choice, now_s)
             refusal = self._refuse_now(call, case, choice, verdict, now_s)
             if refusal is not None:
                 return refusal
--- a/packages/standins/src/knapweedbridge_standins/serving_load/overload_pool.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_load/overload_pool.py
@@ -181,7 +181,7 @@
             return
         case = self._case(call)
         choice = self._choose(call, now_s)
-        verdict = self.policy.judge(case, choice, now_s)
+        verdict = self.policy.decide(case, choice, now_s)
         if isinstance(verdict, Reject):
             self._refuse(call, verdict.retry_after_s)
             return
