--- a/bench/mutants_configuration.py
+++ b/bench/mutants_configuration.py
@@ -51,7 +51,7 @@
 ]
 NO_BASE = (" or message.base_token != held.token", "")
 GIVER = ConfigurationResponder
-LAST_DELTA = ("steps[tokens.index(token) :]", "steps[-1:]")
+LAST_DELTA = ("deltas[tokens.index(token) :]", "deltas[-1:]")
 NO_RESULT = ("if any(parts.digests", "if False and any(parts.digests")
 
 
@@ -86,7 +86,7 @@
     ],
     "only the last delta sent": [
         rewritten(
-            GIVER, "_changes_since", ("steps[tokens.index(token) :]", "steps[-1:]")
+            GIVER, "_changes_since", ("deltas[tokens.index(token) :]", "deltas[-1:]")
         )
     ],
 }
--- a/packages/core/src/knapweedbridge_core/configuration_responder.py
+++ b/packages/core/src/knapweedbridge_core/configuration_responder.py
@@ -63,12 +63,12 @@
         self._context.send(self._context.sender, told)
 
     def _changes_since(self, token: str) -> Changes | None:
-        steps = list(self._steps)
-        tokens = [step.base_token for step in steps]
+        deltas = list(self._steps)
+        tokens = [step.base_token for step in deltas]
         if not token or token not in tokens:
             return None
         changes: Changes = {}
-        for step in steps[tokens.index(token) :]:
+        for step in deltas[tokens.index(token) :]:
             changes.update(step.changes)
         return changes if len(changes) <= MAX_DELTA_SECTIONS else None
 
