--- a/packages/core/src/knapweedbridge_core/deltas.py
+++ b/packages/core/src/knapweedbridge_core/deltas.py
@@ -45,7 +45,7 @@
             news.total += 1
         return [news.state for news in due[:STATES_A_HEARTBEAT]]
 
-    def forget_sent(self, neighbours: list[str]) -> None:
+    def discard_sent(self, neighbours: list[str]) -> None:
         """Drop the news that every neighbour was sent often enough."""
         for host, news in list(self._news.items()):
             if all(news.sends[name] >= SENDS_A_NEIGHBOUR for name in neighbours):
--- a/packages/core/src/knapweedbridge_core/member_side.py
+++ b/packages/core/src/knapweedbridge_core/member_side.py
@@ -51,7 +51,7 @@
     def _tick(self, event: events.Tick) -> None:
         self._notice_pause()
         self._beat(self._context.members.neighbours())
-        self._deltas.forget_sent(self._context.members.neighbours())
+        self._deltas.discard_sent(self._context.members.neighbours())
         self._suspicions.tick(self._context.members.neighbours())
         self._settle()
         self._revisit_dead()
