--- a/packages/core/src/knapweedbridge_core/request_side.py
+++ b/packages/core/src/knapweedbridge_core/request_side.py
@@ -19,7 +19,7 @@
 from knapweedbridge_core.placement import Holder, make_placement
 from knapweedbridge_core.requests import LiveRequest
 from knapweedbridge_core.retries import RETRY_AFTER_S, Again, GoOn, RetryBudget, decide
-from knapweedbridge_core.times import GRANT_USE_S
+from knapweedbridge_core.times import GRANT_USE_TIMEOUT_S
 
 
 class RequestSide(Side):
@@ -229,7 +229,7 @@
     def _forget_lost_grant(self, live: LiveRequest) -> None:
         # The owner may have died with the question: ask again, under a new
         # attempt id, so that a late grant of the old one cannot be used.
-        overdue = self._context.now_s - live.asked_s > GRANT_USE_S
+        overdue = self._context.now_s - live.asked_s > GRANT_USE_TIMEOUT_S
         if live.endpoint and not live.dispatched and overdue:
             self._forget_grant(live)
 
@@ -269,7 +269,7 @@
     def _is_usable(self, live: LiveRequest, message: messages.GrantGiven) -> bool:
         # A daemon that slept, or whose owner was succeeded, holds a grant that the
         # new owner may not know of: the request would start on a slot about to go.
-        fresh = self._context.now_s - live.asked_s <= GRANT_USE_S
+        fresh = self._context.now_s - live.asked_s <= GRANT_USE_TIMEOUT_S
         return fresh and self._context.fencing_numbers.is_current(
             message.endpoint, message.number
         )
--- a/packages/core/src/knapweedbridge_core/times.py
+++ b/packages/core/src/knapweedbridge_core/times.py
@@ -28,7 +28,7 @@
 QUARANTINE_S = 120.0
 """How long a name stays away from an endpoint that a late eviction may reach."""
 
-GRANT_USE_S = 1.0
+GRANT_USE_TIMEOUT_S = 1.0
 """Longest from the asking for a grant to the start of its request."""
 
 RECONCILE_INTERVAL_S = 10.0
