--- a/features/owners/fuzz.feature
+++ b/features/owners/fuzz.feature
@@ -1,5 +1,5 @@
-Feature: Owners and grants under faults that hypothesis chooses
+Feature: Ownership and grants under random faults
 
-  Scenario: No choice of faults breaks a promise
-    When hypothesis breaks 25 deployments in up to 14 steps each
-    Then the oracle found nothing
+  Scenario: No sequence of faults violates an invariant
+    When hypothesis injects faults into 25 deployments in up to 14 steps each
+    Then hypothesis found no violated invariant
--- a/features/owners/histories.feature
+++ b/features/owners/histories.feature
@@ -1,16 +1,16 @@
-Feature: An adapter that serves is never evicted, whatever fails
-  Histories of real cores, replayed from a seed, on endpoints that check fencing
-  numbers and on those that ignore them. In each: no adapter that serves is evicted,
-  each request runs on the adapter it names, fencing numbers only rise and have one
-  owner, each request gets at most one final answer.
+Feature: An adapter that serves a request is never evicted, whatever fails
+  Histories of real cores, reproducible from a seed, on endpoints that check fencing
+  numbers and on endpoints that ignore them. The invariants of each history: no adapter
+  that serves a request is evicted, each request runs on the adapter it names, fencing
+  numbers only rise and have one owner, each request gets at most one final answer.
 
   Scenario Outline: One failure, <endpoints> endpoints: <history>
-    A daemon is killed, sleeps, or is cut off while grants are out or an order is on
-    its way. Another takes its endpoints over, knowing nothing. A caller sees its
-    answer break in the middle because the slot it runs on is emptied.
+    A daemon is killed, paused or cut off while grants are held or an order is in
+    flight. Another one takes over its endpoints without knowing of either, and evicts
+    an adapter that still serves; the caller's stream breaks in the middle.
 
     When the history "<history>" is run on <endpoints> endpoints
-    Then no promise was broken
+    Then no invariant was violated
     And adapters were evicted and requests answered
 
     Examples:
@@ -40,23 +40,23 @@
       | claims_lost           | ignoring  |
       | claims_lost           | checking  |
 
-  Scenario: A daemon restarted in mid-load does not shut out what others own
-    A daemon ends and starts again within seconds. It has no link yet, so it takes
-    itself for the only daemon and claims every endpoint under higher numbers. Those
-    that owned them do not notice: every view drops their word from then on, and
-    requests for what they hold wait until their deadline.
+  Scenario: A daemon restarted during a load does not displace other owners
+    A daemon ends and starts again within seconds. It has no connection to a peer yet, so
+    it takes itself for the only daemon and claims every endpoint under higher fencing
+    numbers. The real owners do not notice: every view drops their updates from then on.
+    Requests for the adapters on their endpoints wait until their deadlines.
 
     When a daemon is killed at 20 s and started again at 23 s
-    Then no promise was broken
+    Then no invariant was violated
     And no request waited over 30 s for an adapter that was loaded
 
-  Scenario Outline: The service is down for ten minutes, <endpoints> endpoints
-    Leases cannot be renewed and nobody can take over. Requests for loaded adapters
-    are answered all the same, and free slots are filled; on endpoints that ignore
-    fencing numbers nothing is evicted once the owner's lease has lapsed.
+  Scenario Outline: The key-value service is down for ten minutes, <endpoints> endpoints
+    Leases cannot be renewed and no daemon can take over. Requests for loaded adapters are
+    still answered, and free slots are filled; on endpoints that ignore fencing numbers
+    nothing is evicted once the owner's lease has expired.
 
-    When the service is down for ten minutes, <endpoints> endpoints
-    Then no promise was broken
+    When the key-value service is down for ten minutes, <endpoints> endpoints
+    Then no invariant was violated
     And requests were answered until the end of the outage
     And adapters were evicted during the outage: <evicted>
 
@@ -65,13 +65,14 @@
       | ignoring  | no      |
       | checking  | yes     |
 
-  Scenario Outline: Faults by chance that once broke a promise, seed <seed>
-    A daemon sleeps, is cut off from its peers and the service, and takes nobody for
-    dead, as it hears of nobody's death. It gives its own callers grants on an
-    endpoint that has had another owner for half a minute, who evicts what they use.
+  Scenario Outline: Random faults that once violated an invariant, seed <seed>
+    A daemon is paused and then cut off from its peers and from the key-value service. It
+    takes no member for dead, as no news of a death reaches it. It gives its own callers
+    grants on an endpoint that has had another owner for half a minute, and that owner
+    evicts the adapters they use.
 
-    When the history of faults by chance with seed <seed> is run on ignoring endpoints
-    Then no promise was broken
+    When the history of random faults with seed <seed> is run on ignoring endpoints
+    Then no invariant was violated
 
     Examples:
       | seed |
--- a/features/owners/steps/fuzz_steps.py
+++ b/features/owners/steps/fuzz_steps.py
@@ -14,7 +14,7 @@
 
 
 class Owners(RuleBasedStateMachine):
-    """Faults and requests as hypothesis chooses; the checker is the oracle."""
+    """Inject faults and send requests; the world's checker tests the invariants."""
 
     @initialize(seed=st.integers(0, 1000), checks=st.booleans())
     def begin(self, seed, checks):
@@ -25,7 +25,7 @@
         self.world.run(12.0)
 
     @rule(name=st.sampled_from(sorted(FAULTS)))
-    def break_something(self, name):
+    def inject_fault(self, name):
         FAULTS[name](self.world, self.world.rng)
 
     @rule(seconds=st.sampled_from([0.1, 1.0, 5.0, 20.0]))
@@ -33,7 +33,7 @@
         self.world.run(self.world.now_s + seconds)
 
     @rule(model=st.integers(0, 9), daemon=st.integers(0, 2))
-    def ask_many(self, model, daemon):
+    def send_requests(self, model, daemon):
         hosts = self.world.live()
         if hosts:
             host = hosts[daemon % len(hosts)]
@@ -41,15 +41,18 @@
                 self.world.ask(host, self.world.models[model])
 
     @invariant()
-    def promises_hold(self):
+    def invariants_hold(self):
         if hasattr(self, "world"):
             assert not self.world.checker.violations, self.world.checker.violations
 
 
-@when("hypothesis breaks {examples:d} deployments in up to {steps:d} steps each")
+@when(
+    "hypothesis injects faults into {examples:d} deployments "
+    "in up to {steps:d} steps each"
+)
 def fuzz(context, examples, steps):
-    context.found = ""
-    limits = settings(
+    context.violation = ""
+    fuzz_settings = settings(
         max_examples=examples,
         stateful_step_count=steps,
         derandomize=True,
@@ -58,11 +61,11 @@
         suppress_health_check=list(HealthCheck),
     )
     try:
-        run_state_machine_as_test(Owners, settings=limits)
+        run_state_machine_as_test(Owners, settings=fuzz_settings)
     except AssertionError as error:
-        context.found = str(error)
+        context.violation = str(error)
 
 
-@then("the oracle found nothing")
-def nothing(context):
-    assert not context.found, context.found
+@then("hypothesis found no violated invariant")
+def no_violation(context):
+    assert not context.violation, context.violation
--- a/features/owners/steps/history_steps.py
+++ b/features/owners/steps/history_steps.py
@@ -12,8 +12,8 @@
     context.world = SCRIPTS[name](1, endpoints == "checking")
 
 
-@when("the history of faults by chance with seed {seed:d} is run on ignoring endpoints")
-def run_chance(context, seed):
+@when("the history of random faults with seed {seed:d} is run on ignoring endpoints")
+def run_random_faults(context, seed):
     context.world = random_history(seed, False)
 
 
@@ -27,7 +27,7 @@
     context.world = world
 
 
-@when("the service is down for ten minutes, {endpoints} endpoints")
+@when("the key-value service is down for ten minutes, {endpoints} endpoints")
 def outage(context, endpoints):
     world = World(3, adapters=12, checks_fencing=endpoints == "checking", stream_s=0.6)
     world.load(2.0, 640.0)
@@ -40,8 +40,8 @@
     context.world = world
 
 
-@then("no promise was broken")
-def kept(context):
+@then("no invariant was violated")
+def no_violation(context):
     assert not context.world.checker.violations, context.world.checker.violations
 
 
@@ -52,7 +52,7 @@
 
 
 @then("no request waited over 30 s for an adapter that was loaded")
-def waits(context):
+def no_long_wait(context):
     assert context.world.longest_wait_s < 30.0, context.world.longest_wait_s
     assert not context.world.waiting, context.world.waiting
 
--- a/features/path/calls.feature
+++ b/features/path/calls.feature
@@ -1,20 +1,20 @@
-Feature: Calls that the library cannot name
-  Every failure of a call is an error of the daemon's own layer.
+Feature: Errors that the HTTP library does not wrap
+  Every failure of a call is raised as an error of the daemon's own.
 
-  Scenario Outline: A connection closed in the moment it is made ends no daemon
-    A caller sees all its streams on one host end at once: the daemon is gone.
-    An endpoint, or a part of the platform, closed a connection just as it was
-    made; the event loop had no socket left to show, the HTTP library failed with
-    AttributeError, and no layer turned it into an error of its own.
+  Scenario Outline: A connection closed as it is opened does not crash the daemon
+    All streams of a host end at once because its daemon crashed. An endpoint, or a
+    service of the platform, closed a connection just as it was opened; the event loop
+    had no socket to return, the HTTP library raised AttributeError, and no layer
+    translated it into an error of its own.
 
-    Given that each new connection is closed in the moment it is made
+    Given that each new connection is closed as it is opened
     When the daemon <calls>
     Then the call fails with "<error>"
 
     Examples:
-      | calls                      | error         |
-      | reads the list of hosts    | DaemonError   |
-      | reads the service          | StoreError    |
-      | orders an endpoint         | EndpointError |
-      | asks an endpoint to report | EndpointError |
-      | probes an endpoint         | not reached   |
+      | calls                       | error         |
+      | reads the list of hosts     | DaemonError   |
+      | reads the key-value service | StoreError    |
+      | sends an order              | EndpointError |
+      | requests a report           | EndpointError |
+      | probes an endpoint          | not reached   |
--- a/features/path/steps/bridge_steps.py
+++ b/features/path/steps/bridge_steps.py
@@ -26,7 +26,7 @@
 
 
 class Core:
-    """Drives one core by hand; the platform answers at once."""
+    """Drive one core by hand; the key-value service and reports answer at once."""
 
     def __init__(self, slots):
         self.bridge = Bridge("host-0", "dc1")
@@ -37,21 +37,21 @@
             **SECTIONS["endpoint draft-0"],
             "slots": str(slots),
         }
-        self.tell(events.ConfigurationRead(build(1, sections)[0]))
-        self.tell(events.Tick())
+        self.handle(events.ConfigurationRead(build(1, sections)[0]))
+        self.handle(events.Tick())
 
-    def tell(self, event):
+    def handle(self, event):
         for action in self.bridge.handle(event, self.now_s):
             self.actions.append(action)
             self._answer(action)
 
     def _answer(self, action):
         if isinstance(action, (StoreRead, StoreWrite)):
-            self.tell(events.StoreResponse(action.token, True, True, {}))
+            self.handle(events.StoreResponse(action.token, True, True, {}))
         elif isinstance(action, RequestReport):
-            self.tell(events.EndpointReported(action.endpoint, (), {}, self.now_s))
+            self.handle(events.EndpointReported(action.endpoint, (), {}, self.now_s))
 
-    def taken(self, kind):
+    def actions_of(self, kind):
         return [action for action in self.actions if isinstance(action, kind)]
 
 
@@ -76,46 +76,46 @@
         deadline_s=context.core.now_s + 60,
         fingerprint="f",
     )
-    context.core.tell(events.RequestArrived(request))
+    context.core.handle(events.RequestArrived(request))
 
 
-@when('the engine ends the load of "{name}"')
-def load_ends(context, name):
+@when('the engine finishes the load of "{name}"')
+def load_finishes(context, name):
     model = parse_adapter_version(name)
-    context.core.tell(events.OrderEnded("draft-0", "load", model, True))
+    context.core.handle(events.OrderEnded("draft-0", "load", model, True))
 
 
-@when("the attempt ends whole")
-def attempt_ends(context):
-    sent = context.core.taken(Dispatch)[0]
+@when("the attempt completes")
+def attempt_completes(context):
+    sent = context.core.actions_of(Dispatch)[0]
     ended = events.AttemptEnded(sent.request_id, sent.attempt_id, Complete(3))
-    context.core.tell(ended)
+    context.core.handle(ended)
 
 
 @when("{seconds:d} seconds pass")
 def pass_time(context, seconds):
     for _ in range(seconds * 5):
         context.core.now_s += 0.2
-        context.core.tell(events.Tick())
+        context.core.handle(events.Tick())
 
 
 @then('the engine is ordered to {kind} "{name}"')
 def ordered(context, kind, name):
-    orders = [(o.kind, str(o.model)) for o in context.core.taken(OrderEndpoint)]
+    orders = [(o.kind, str(o.model)) for o in context.core.actions_of(OrderEndpoint)]
     assert (kind, name) in orders, orders
 
 
 @then("no eviction was ordered")
 def no_eviction(context):
-    orders = [order.kind for order in context.core.taken(OrderEndpoint)]
+    orders = [order.kind for order in context.core.actions_of(OrderEndpoint)]
     assert "evict" not in orders, orders
 
 
 @then('the request is dispatched to "{endpoint}"')
 def dispatched(context, endpoint):
-    assert context.core.taken(Dispatch)[-1].endpoint == endpoint
+    assert context.core.actions_of(Dispatch)[-1].endpoint == endpoint
 
 
 @then('the request is finished as "{outcome}"')
 def finished(context, outcome):
-    assert type(context.core.taken(Finish)[-1].outcome).__name__ == outcome
+    assert type(context.core.actions_of(Finish)[-1].outcome).__name__ == outcome
--- a/features/path/steps/calls_steps.py
+++ b/features/path/steps/calls_steps.py
@@ -28,24 +28,24 @@
 
 
 async def _probe():
-    probed = await Prober().probe(ProbeEndpoint("draft-0", ADDRESS, "engine"))
-    return "not reached" if not probed.reached else "reached"
+    result = await Prober().probe(ProbeEndpoint("draft-0", ADDRESS, "engine"))
+    return "not reached" if not result.reached else "reached"
 
 
 CALLS = {
     "reads the list of hosts": lambda: HttpHostList(URL, 1.0).read(),
-    "reads the service": lambda: EtcdStore(URL, 1.0).read("key"),
-    "orders an endpoint": _order,
-    "asks an endpoint to report": lambda: _endpoint().report(),
+    "reads the key-value service": lambda: EtcdStore(URL, 1.0).read("key"),
+    "sends an order": _order,
+    "requests a report": lambda: _endpoint().report(),
     "probes an endpoint": _probe,
 }
 
 
-@given("that each new connection is closed in the moment it is made")
-def closed_at_once(context):
-    lost = AttributeError("'NoneType' object has no attribute 'family'")
+@given("that each new connection is closed as it is opened")
+def close_connections(context):
+    error = AttributeError("'NoneType' object has no attribute 'family'")
     patch = mock.patch.object(
-        httpx.AsyncHTTPTransport, "handle_async_request", side_effect=lost
+        httpx.AsyncHTTPTransport, "handle_async_request", side_effect=error
     )
     patch.start()
     context.add_cleanup(patch.stop)
@@ -54,11 +54,11 @@
 @when("the daemon {calls}")
 def call(context, calls):
     try:
-        context.found = anyio.run(CALLS[calls])
+        context.result = anyio.run(CALLS[calls])
     except DaemonError as error:
-        context.found = type(error).__name__
+        context.result = type(error).__name__
 
 
 @then('the call fails with "{error}"')
 def fails_with(context, error):
-    assert context.found == error, context.found
+    assert context.result == error, context.result
--- a/features/path/steps/folder_steps.py
+++ b/features/path/steps/folder_steps.py
@@ -9,7 +9,7 @@
     _files(context)[name] = context.text
 
 
-@given('a section "{section}" of one line "{line}" in file "{name}"')
+@given('a section "{section}" with the line "{line}" in file "{name}"')
 def folder_line(context, section, line, name):
     _files(context)[name] = f"[{section}]\n{line}\n"
 
@@ -24,9 +24,9 @@
 def merge(context):
     try:
         context.sections = merge_folder(context.files.items())
-        context.faults = []
+        context.errors = []
     except CheckError as error:
-        context.faults = [str(fault) for fault in error.faults]
+        context.errors = [str(fault) for fault in error.faults]
 
 
 @then('section "{section}" has "{key}" = "{value}"')
@@ -34,6 +34,6 @@
     assert context.sections[section][key] == value, context.sections
 
 
-@then('the only fault is "{fault}"')
-def only_fault(context, fault):
-    assert context.faults == [fault], context.faults
+@then('the only error is "{error}"')
+def only_error(context, error):
+    assert context.errors == [error], context.errors
--- a/packages/core/src/knapweedbridge_core/__init__.py
+++ b/packages/core/src/knapweedbridge_core/__init__.py
@@ -1,4 +1,4 @@
-"""The decisions of knapweedbridge, as state machines without input or output."""
+"""Decision logic of knapweedbridge, as state machines that perform no I/O."""
 
 from importlib import import_module
 from typing import TYPE_CHECKING, Any
@@ -24,7 +24,7 @@
     "parse_adapter_version",
 ]
 
-_PLACES = {
+_MODULES = {
     "Bridge": "bridge",
     "Configuration": "configuration",
     "CheckError": "errors",
@@ -40,8 +40,8 @@
 
 
 def __getattr__(name: str) -> Any:
-    # Imported when asked for: serving by a platform's dialect uses few of them.
-    if name in _PLACES:
-        module = import_module(f"knapweedbridge_core.{_PLACES[name]}")
+    # Imported on first use: serving a platform's dialect needs only a few of them.
+    if name in _MODULES:
+        module = import_module(f"knapweedbridge_core.{_MODULES[name]}")
         return getattr(module, name)
     raise AttributeError(name)
--- a/packages/core/src/knapweedbridge_core/actions.py
+++ b/packages/core/src/knapweedbridge_core/actions.py
@@ -1,4 +1,4 @@
-"""What the core asks of the shell."""
+"""Actions that the core returns and the shell performs."""
 
 from dataclasses import dataclass, field
 from math import inf
@@ -18,7 +18,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Dispatch:
-    """Stream a request from an endpoint."""
+    """Send a request to an endpoint and stream its response."""
 
     request_id: str
     attempt_id: str
@@ -28,12 +28,12 @@
 
 @dataclass(slots=True, frozen=True)
 class Resume:
-    """Go on with an attempt's stream over a new connection.
+    """Resume the stream of an attempt over a new connection.
 
     Parameters
     ----------
     offset : int
-        Events already delivered to the caller.
+        Number of events already delivered to the caller.
     """
 
     request_id: str
@@ -45,7 +45,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CancelAttempt:
-    """Tell an endpoint, over a new connection, to stop an attempt."""
+    """Cancel an attempt at its endpoint, over a new connection."""
 
     attempt_id: str
     address: str
@@ -53,7 +53,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Finish:
-    """Give a request its final outcome."""
+    """End a request with its final outcome."""
 
     request_id: str
     outcome: FinalOutcome
@@ -61,15 +61,15 @@
 
 @dataclass(slots=True, frozen=True)
 class OrderEndpoint:
-    """Order an endpoint to load or evict.
+    """Order an endpoint to load or evict an adapter version.
 
     Parameters
     ----------
     number : int
         Fencing number of the owner.
     not_after_s : float
-        When the order may no longer be sent, on the daemon's monotonic clock; the
-        shell reads the clock anew right before it sends.
+        Time after which the order may no longer be sent, on the daemon's monotonic
+        clock; the shell reads the clock again right before it sends.
     """
 
     endpoint: str
@@ -83,13 +83,13 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestReport:
-    """Ask an endpoint for a report.
+    """Request a report from an endpoint.
 
     Parameters
     ----------
     number : int
-        Fencing number of the owner; an endpoint that checks numbers refuses older
-        orders from then on.
+        Fencing number of the owner; an endpoint that checks fencing numbers rejects
+        orders with lower numbers from then on.
     """
 
     endpoint: str
@@ -99,7 +99,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ProbeEndpoint:
-    """Ask an endpoint once, on a new connection, whether it lives and stays."""
+    """Check once, over a new connection, whether an endpoint is up and not leaving."""
 
     endpoint: str
     address: str
@@ -108,7 +108,7 @@
 
 @dataclass(slots=True, frozen=True)
 class StoreRead:
-    """Read keys of the key-value service."""
+    """Read keys from the key-value service."""
 
     token: str
     keys: tuple[str, ...]
@@ -116,14 +116,14 @@
 
 @dataclass(slots=True, frozen=True)
 class StoreWrite:
-    """Write keys if every compared key has the revision named (0: absent).
+    """Write keys if every compared key has the given revision (0: absent).
 
     Parameters
     ----------
     lease_s : float
-        The keys go when the write is not repeated for this long; 0: they stay. A
-        repeat that finds them gone is answered as not applied, and writes them anew
-        when it is repeated once more.
+        Time after which the keys expire unless the write is repeated; 0: they do not
+        expire. A repeat that finds them expired is answered as not applied; the
+        repeat after that writes them again.
     """
 
     token: str
@@ -134,7 +134,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ClaimWrite:
-    """Write claims as `StoreWrite` does; each lapses with the claims' lease."""
+    """Write claims as `StoreWrite` does; they expire with the lease of the claims."""
 
     token: str
     compares: dict[str, int]
@@ -143,14 +143,14 @@
 
 @dataclass(slots=True, frozen=True)
 class ClaimTimer:
-    """Tell `ClaimsDue` after a while."""
+    """Raise a `ClaimsDue` event after a delay."""
 
     delay_s: float
 
 
 @dataclass(slots=True, frozen=True)
 class Record:
-    """Add an event to the time line."""
+    """Add an event to the timeline."""
 
     kind: str
     fields: dict[str, Any] = field(default_factory=dict)
@@ -158,7 +158,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Count:
-    """Add to a counter."""
+    """Increment a counter."""
 
     name: str
     value: int = 1
--- a/packages/core/src/knapweedbridge_core/bridge.py
+++ b/packages/core/src/knapweedbridge_core/bridge.py
@@ -1,4 +1,4 @@
-"""The central object: one daemon's decisions, without input or output."""
+"""The core of one daemon: all of its decisions, as a state machine without I/O."""
 
 from typing import Any
 
@@ -28,18 +28,18 @@
 
 
 class Bridge:
-    """All decisions of one daemon.
+    """Make all decisions of one daemon, without I/O.
 
     Parameters
     ----------
     host, data_centre : str
-        Who this daemon is and where it stands.
+        Name of this host and the data centre that it is in.
     incarnation : int
         Number that rises with each start of the host.
     timing : Timing, optional
-        Bounds that the settings give.
+        Settings of the pool and of failure detection.
     administration : str
-        Address of its administration API, which peers are told.
+        Address of this daemon's administration API, which is sent to peers.
     """
 
     def __init__(
@@ -65,16 +65,16 @@
         self.operators = OperatorSide(self._context, administration)
         owning = (self.holder, self.owner, self.grants, self.orders)
         guards = (BlameSide(self._context), LeavingSide(self._context))
-        # The load side says which load failed before the owner says it is over.
+        # The load side must handle a failed load before the owner reports its end.
         answering = (*owning, *guards, self.requests, demand)
         roles = (self.distribution, self.loads, *answering)
         claims = (claimant, ClaimKeeper(self._context))
         sides = (member, *roles, self.operators, *claims)
         for side in sides:
-            self._context.take(side)
+            self._context.register(side)
 
     def handle(self, event: Any, now_s: float) -> list[Action]:
-        """Take one event at one time and return what is to be done.
+        """Handle an event and return the actions to perform.
 
         Parameters
         ----------
@@ -107,25 +107,25 @@
 
     @property
     def blame(self) -> Blame:
-        """What this daemon holds against requests that crash endpoints."""
+        """Requests that this daemon suspects of crashing endpoints."""
         return self._context.blame
 
     @property
     def members(self) -> Members:
-        """The daemons as this one sees them."""
+        """Members of the pool as this daemon sees them."""
         return self._context.members
 
     @property
     def leaving(self) -> Leaving:
-        """The endpoints that take no new work."""
+        """Endpoints that accept no new work."""
         return self._context.leaving
 
     @property
     def view(self) -> View:
-        """The endpoints as their owners tell of them."""
+        """State of the endpoints as their owners last reported it."""
         return self._context.view
 
     @property
     def ledgers(self) -> dict[str, Ledger]:
-        """The ledgers of the endpoints this daemon owns."""
+        """Ledgers of the endpoints that this daemon owns, by endpoint."""
         return {name: held.ledger for name, held in self.owner.tenures.items()}
--- a/packages/core/src/knapweedbridge_core/computed_owners.py
+++ b/packages/core/src/knapweedbridge_core/computed_owners.py
@@ -1,6 +1,6 @@
-"""Who should own each endpoint, computed anew only when a member changed.
+"""The daemon that should own each endpoint, cached until the members change.
 
-Weighing 70 members for 330 endpoints at each tick cost a daemon 14.7% of a core.
+Scoring 70 members for 330 endpoints at each tick took 14.7% of a core per daemon.
 """
 
 from knapweedbridge_core import rendezvous
@@ -9,34 +9,38 @@
 
 
 class ComputedOwners:
-    """Rendezvous hashing of endpoints over the members of their data centre.
+    """Assign endpoints to members of their data centre by rendezvous hashing.
 
     Parameters
     ----------
     members : Members
-        Who may own.
+        The daemons that may own endpoints.
     """
 
     def __init__(self, members: Members) -> None:
         self._members = members
-        self._seen: tuple[int, bool, bool] | None = None
+        self._cache_key: tuple[int, bool, bool] | None = None
         self._candidates: dict[str, list[str]] = {}
         self._owners: dict[tuple[str, str], str | None] = {}
 
     def owner(self, entry: EndpointEntry) -> str | None:
-        """Name the daemon that should own an endpoint."""
-        self._forget_if_changed()
+        """Return the daemon that should own an endpoint.
+
+        Where the endpoint's data centre has no available member, those of all data
+        centres are candidates.
+        """
+        self._invalidate()
         key = (entry.name, entry.data_centre)
         if key not in self._owners:
             candidates = self._candidates_in(entry.data_centre)
             self._owners[key] = rendezvous.choose(entry.name, candidates)
         return self._owners[key]
 
-    def _forget_if_changed(self) -> None:
+    def _invalidate(self) -> None:
         members = self._members
-        seen = (members.version, members.draining, members.is_stale)
-        if seen != self._seen:
-            self._seen = seen
+        key = (members.version, members.draining, members.is_stale)
+        if key != self._cache_key:
+            self._cache_key = key
             self._candidates.clear()
             self._owners.clear()
 
--- a/packages/core/src/knapweedbridge_core/context.py
+++ b/packages/core/src/knapweedbridge_core/context.py
@@ -1,4 +1,4 @@
-"""What the sides of one daemon's core share."""
+"""State, dispatch and actions that the sides of one daemon's core share."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Callable
@@ -15,19 +15,19 @@
 from knapweedbridge_core.view import View
 
 Handler = Callable[[Any], None]
-Watcher = Callable[[str, Any], None]
+SendListener = Callable[[str, Any], None]
 
 
 @dataclass(slots=True, frozen=True)
 class Timing:
-    """What the settings say of the pool.
+    """Settings of the pool and of failure detection.
 
     Parameters
     ----------
     silence_s : float
-        Silence of a neighbour after which it is suspected.
+        Time without a message from a neighbour after which it is suspected.
     whole_deployment : bool
-        Whether the pool is all data centres or only the daemon's own.
+        Whether the pool spans all data centres or only the daemon's own.
     """
 
     silence_s: float = 2.0
@@ -35,16 +35,16 @@
 
 
 class Context:
-    """State that several sides read, and the way to act.
+    """Hold the state that the sides share, and dispatch events and actions.
 
     Parameters
     ----------
     host, data_centre : str
-        Who this daemon is and where it stands.
+        Name of this host and the data centre that it is in.
     incarnation : int
         Number that rises with each start of the host.
     timing : Timing
-        Bounds that the settings give.
+        Settings of the pool and of failure detection.
     """
 
     def __init__(
@@ -65,55 +65,55 @@
         self.sender = host
         self._actions: list[Action] = []
         self._handlers: dict[type, list[Handler]] = {}
-        self._watchers: dict[type, list[Watcher]] = {}
+        self._send_listeners: dict[type, list[SendListener]] = {}
 
-    def take(self, side: "Side") -> None:
-        """Let a side handle its events and messages."""
+    def register(self, side: "Side") -> None:
+        """Register the handlers of a side."""
         for kind, handler in side.handlers().items():
             self._handlers.setdefault(kind, []).append(handler)
 
     def handle(self, event: Any, now_s: float) -> list[Action]:
-        """Take one event at one time and return what is to be done."""
+        """Handle an event and return the actions to perform."""
         self.now_s = now_s
         self._actions = []
         self.dispatch(event)
         return self._actions
 
     def dispatch(self, event: Any) -> None:
-        """Hand an event or a message to the sides that take it."""
+        """Call every handler of an event or a message, in order of registration."""
         for handler in self._handlers.get(type(event), []):
             handler(event)
 
     def receive(self, sender: str, message: Any) -> None:
-        """Take a peer's message, or one of this daemon's own."""
+        """Dispatch a message from a peer, or from this daemon to itself."""
         outer, self.sender = self.sender, sender
         self.dispatch(message)
         self.sender = outer
 
     def emit(self, action: Action) -> None:
-        """Ask the shell for an action."""
+        """Add an action for the shell to perform."""
         self._actions.append(action)
 
-    def watch(self, kind: type, watcher: Watcher) -> None:
-        """Let a side see the messages of a kind that this daemon sends."""
-        self._watchers.setdefault(kind, []).append(watcher)
+    def watch(self, kind: type, listener: SendListener) -> None:
+        """Call a listener with each message of a class that this daemon sends."""
+        self._send_listeners.setdefault(kind, []).append(listener)
 
     def send(self, host: str, message: Any) -> None:
         """Send a message to a daemon, which may be this one."""
-        for watcher in self._watchers.get(type(message), []):
-            watcher(host, message)
+        for listener in self._send_listeners.get(type(message), []):
+            listener(host, message)
         if host == self.host:
             self.receive(self.host, message)
         else:
             self.emit(SendPeer(host, message))
 
     def broadcast(self, message: Any) -> None:
-        """Send a message to every peer with a stream."""
+        """Send a message to every member that is alive."""
         for peer in self.members.peers():
             self.emit(SendPeer(peer.name, message))
 
     def record(self, kind: str, **fields: Any) -> None:
-        """Add an event to the time line."""
+        """Add an event to the timeline."""
         self.emit(Record(kind, fields))
 
     def engines(self) -> list[EndpointEntry]:
@@ -125,7 +125,7 @@
         ]
 
     def holders(self, model: AdapterVersion) -> list[str]:
-        """Name the endpoints that hold an adapter version and may serve it."""
+        """Return the endpoints that have an adapter version loaded and may serve it."""
         return [
             name
             for name in self.view.holders(model)
@@ -134,12 +134,12 @@
 
 
 class Side(ABC):
-    """One role of a daemon.
+    """Handle the events and messages of one role of a daemon.
 
     Parameters
     ----------
     context : Context
-        What it shares with the other sides.
+        State shared with the other sides.
     """
 
     def __init__(self, context: Context) -> None:
@@ -147,4 +147,4 @@
 
     @abstractmethod
     def handlers(self) -> dict[type, Handler]:
-        """Return the events and messages this side takes."""
+        """Return the handler of each class of event and message."""
--- a/packages/core/src/knapweedbridge_core/failure_detector.py
+++ b/packages/core/src/knapweedbridge_core/failure_detector.py
@@ -1,23 +1,23 @@
-"""The suspicions of one daemon, and what it tries for others."""
+"""Failure detection: silence of neighbours, confirmed by probes of other members."""
 
 from collections.abc import Callable
 
 from knapweedbridge_core import messages
 from knapweedbridge_core.context import Context
-from knapweedbridge_core.suspicion import Finding, Suspicion, Trial
+from knapweedbridge_core.suspicion import IndirectProbe, Suspicion, SuspicionResult
 
-ANSWER_SHARE = 0.5
+PROBE_TIMEOUT_SHARE = 0.5
 
 
 class FailureDetector:
-    """Notices silence of neighbours and has it confirmed by others.
+    """Suspect silent neighbours and have other members probe them.
 
     Parameters
     ----------
     context : Context
-        What the sides of the daemon share.
+        State that the sides of the daemon share.
     declare_dead : callable
-        Takes the name of a member whose death is confirmed.
+        Called with the name of a member whose failure is confirmed.
     """
 
     def __init__(self, context: Context, declare_dead: Callable[[str], None]) -> None:
@@ -25,103 +25,105 @@
         self._declare_dead = declare_dead
         self._heard_s: dict[str, float] = {}
         self._open: dict[str, Suspicion] = {}
-        self._trials: list[Trial] = []
+        self._probes: list[IndirectProbe] = []
         self._bad_links: set[str] = set()
         self._heard_any_s = context.now_s
         self.isolated = False
 
-    def heard(self, host: str) -> None:
-        """Note that a daemon was heard."""
+    def record_message(self, host: str) -> None:
+        """Record that a message arrived from a daemon."""
         self._heard_s[host] = self._context.now_s
         self._heard_any_s = self._context.now_s
         self._open.pop(host, None)
         self._bad_links.discard(host)
         self.isolated = False
-        answered = [trial for trial in self._trials if trial.host == host]
-        for trial in answered:
-            self._trials.remove(trial)
-            self._context.send(trial.asker, messages.IndirectProbeResponse(host, True))
+        answered = [probe for probe in self._probes if probe.host == host]
+        for probe in answered:
+            self._probes.remove(probe)
+            self._context.send(
+                probe.requester, messages.IndirectProbeResponse(host, True)
+            )
 
-    def excuse(self, host: str) -> None:
-        """Count a daemon's silence from now on."""
+    def reset_silence(self, host: str) -> None:
+        """Measure the silence of a daemon from now on."""
         self._heard_s[host] = self._context.now_s
         self._open.pop(host, None)
 
-    def excuse_all(self, now_s: float) -> None:
-        """Blame nobody for a time in which this daemon itself was stopped."""
+    def reset_all(self, now_s: float) -> None:
+        """Discard all silence measured while this daemon itself was stopped."""
         self._heard_s = dict.fromkeys(self._heard_s, now_s)
         self._open.clear()
-        self._trials.clear()
+        self._probes.clear()
 
-    def open(self, host: str) -> None:
-        """Suspect a daemon, and ask others about it."""
+    def suspect(self, host: str) -> None:
+        """Suspect a daemon, and ask other members to probe it."""
         if host not in self._open:
             self._open[host] = Suspicion(host)
-            self._ask(self._open[host])
+            self._request_probes(self._open[host])
 
     def tick(self, neighbours: list[str]) -> None:
-        """Suspect silent neighbours, and draw what follows from answers."""
+        """Suspect silent neighbours, and evaluate suspicions and probes."""
         now_s = self._context.now_s
         self._forget_others(neighbours)
         for host in neighbours:
             heard_s = self._heard_s.setdefault(host, now_s)
             if now_s - heard_s >= self._context.silence_s:
-                self.open(host)
+                self.suspect(host)
         for suspicion in list(self._open.values()):
-            self._conclude(suspicion)
-        for trial in [trial for trial in self._trials if now_s >= trial.ends_s]:
-            self._trials.remove(trial)
+            self._evaluate(suspicion)
+        for probe in [probe for probe in self._probes if now_s >= probe.ends_s]:
+            self._probes.remove(probe)
             self._context.send(
-                trial.asker, messages.IndirectProbeResponse(trial.host, False)
+                probe.requester, messages.IndirectProbeResponse(probe.host, False)
             )
 
-    def asked(self, message: messages.IndirectProbeRequest) -> None:
-        """Try a daemon for another one."""
-        wait_s = self._context.silence_s * ANSWER_SHARE
+    def handle_request(self, message: messages.IndirectProbeRequest) -> None:
+        """Probe a daemon on behalf of another one."""
+        wait_s = self._context.silence_s * PROBE_TIMEOUT_SHARE
         ends_s = self._context.now_s + wait_s
-        self._trials.append(Trial(message.host, self._context.sender, ends_s))
+        self._probes.append(IndirectProbe(message.host, self._context.sender, ends_s))
         self._context.send(message.host, messages.ProbeRequest())
 
-    def told(self, message: messages.IndirectProbeResponse) -> None:
-        """Take what a helper found."""
+    def handle_response(self, message: messages.IndirectProbeResponse) -> None:
+        """Handle the result of a probe that this daemon requested."""
         suspicion = self._open.get(message.host)
         if suspicion is None:
             return
         if message.answered:
-            self._note_bad_link(message.host)
-            self.excuse(message.host)
+            self._record_bad_link(message.host)
+            self.reset_silence(message.host)
         elif self._context.sender in suspicion.asked:
-            suspicion.denied.add(self._context.sender)
-            self._conclude(suspicion)
+            suspicion.failed.add(self._context.sender)
+            self._evaluate(suspicion)
 
-    def _note_bad_link(self, host: str) -> None:
+    def _record_bad_link(self, host: str) -> None:
         if host not in self._bad_links:
             self._bad_links.add(host)
             self._context.record("peer.link_bad", peer=host)
 
-    def _ask(self, suspicion: Suspicion) -> None:
+    def _request_probes(self, suspicion: Suspicion) -> None:
         others = [
             member.name
             for member in self._context.members.peers()
             if member.name not in self._open
         ]
-        wait_s = self._context.silence_s * (0.5 + ANSWER_SHARE)
+        wait_s = self._context.silence_s * (0.5 + PROBE_TIMEOUT_SHARE)
         message = messages.IndirectProbeRequest(suspicion.host)
-        for helper in suspicion.ask(others, self._context.now_s, wait_s):
+        for helper in suspicion.begin_round(others, self._context.now_s, wait_s):
             self._context.send(helper, message)
 
-    def _conclude(self, suspicion: Suspicion) -> None:
+    def _evaluate(self, suspicion: Suspicion) -> None:
         now_s = self._context.now_s
-        finding = suspicion.finding(now_s, len(self._open))
-        if finding is Finding.DEAD:
+        result = suspicion.evaluate(now_s, len(self._open))
+        if result is SuspicionResult.DEAD:
             self._open.pop(suspicion.host, None)
             self._declare_dead(suspicion.host)
             return
-        if finding is Finding.ISOLATED:
+        if result is SuspicionResult.ISOLATED:
             silence_s = now_s - self._heard_any_s
             self.isolated = silence_s >= self._context.silence_s
         if now_s >= suspicion.ends_s:
-            self._ask(suspicion)
+            self._request_probes(suspicion)
 
     def _forget_others(self, neighbours: list[str]) -> None:
         kept = {*neighbours, *self._open}
--- a/packages/core/src/knapweedbridge_core/grant_admission.py
+++ b/packages/core/src/knapweedbridge_core/grant_admission.py
@@ -1,4 +1,4 @@
-"""What an owner checks before it looks for a slot: leaving, quarantine."""
+"""Checks before the owner looks for a slot: leaving endpoints and quarantine."""
 
 from knapweedbridge_core import messages
 from knapweedbridge_core.blame import Quarantine
@@ -7,23 +7,29 @@
 
 
 class GrantAdmission:
-    """Refuses grants for reasons that have nothing to do with slots."""
+    """Refuse grants for reasons other than the state of the slots.
+
+    Parameters
+    ----------
+    context : Context
+        State that the sides of this daemon share.
+    """
 
     def __init__(self, context: Context) -> None:
         self._context = context
         self._quarantine = Quarantine()
 
-    def refusal(self, ask: messages.GrantRequest, now_s: float) -> Reason | None:
+    def refusal(self, request: messages.GrantRequest, now_s: float) -> Reason | None:
         """Return why a grant may not be given, or None."""
-        # The asking daemon may not have heard yet that the endpoint leaves.
-        if ask.endpoint in self._context.leaving:
+        # The requesting daemon may not know yet that the endpoint is leaving.
+        if request.endpoint in self._context.leaving:
             return Reason.ENDPOINT_LEAVING
-        if ask.suspect and not self._quarantine.enter(
-            ask.endpoint, ask.attempt_id, now_s
+        if request.suspect and not self._quarantine.enter(
+            request.endpoint, request.attempt_id, now_s
         ):
             return Reason.QUARANTINE
         return None
 
     def leave(self, message: messages.GrantRequest | messages.GrantReturned) -> None:
-        """Take note that an attempt ended, or got no grant."""
+        """Record that an attempt ended, or that its grant was refused."""
         self._quarantine.leave(message.endpoint, message.attempt_id)
--- a/packages/core/src/knapweedbridge_core/grant_messages.py
+++ b/packages/core/src/knapweedbridge_core/grant_messages.py
@@ -1,4 +1,4 @@
-"""Messages by which a caller's daemon gets a slot pinned and lets it go."""
+"""Messages by which a caller's daemon gets a slot pinned and releases it."""
 
 from knapweedbridge_core.codec import message
 from knapweedbridge_core.names import AdapterVersion
@@ -6,7 +6,7 @@
 
 @message(tag="GrantAsk")
 class GrantRequest:
-    """A caller's daemon asks an owner for a grant."""
+    """A caller's daemon requests a grant from an owner."""
 
     attempt_id: str
     endpoint: str
@@ -17,7 +17,7 @@
 
 @message
 class GrantGiven:
-    """The owner, under its fencing number, pinned the slot for this attempt."""
+    """The owner pinned the slot for this attempt, under its fencing number."""
 
     attempt_id: str
     endpoint: str
@@ -26,7 +26,7 @@
 
 @message
 class GrantRefused:
-    """The adapter is not to be had on this endpoint."""
+    """The owner gives no grant, for the reason named."""
 
     attempt_id: str
     endpoint: str
@@ -35,7 +35,7 @@
 
 @message
 class GrantReturned:
-    """The attempt ended; the slot need not be pinned for it."""
+    """The attempt ended; its slot need not be pinned any longer."""
 
     attempt_id: str
     endpoint: str
--- a/packages/core/src/knapweedbridge_core/grant_side.py
+++ b/packages/core/src/knapweedbridge_core/grant_side.py
@@ -1,4 +1,4 @@
-"""The owner's grants: given, returned, collected, settled when a holder dies."""
+"""The owner's grants: given, returned, collected, released if the holder dies."""
 
 from dataclasses import dataclass
 from math import inf
@@ -17,19 +17,19 @@
     SILENCE_TIMEOUT_S,
 )
 
-LIFE_TOKEN = "holder-life"
+LIVENESS_TOKEN = "holder-life"
 
 
 @dataclass(slots=True, frozen=True)
-class _Key:
+class _RequestKey:
     endpoint: str
     number: int
     host: str
 
 
 @dataclass(slots=True)
-class _Ask:
-    """Since when a holder owes an answer, and when it was asked last."""
+class _HolderRequest:
+    """When a holder's answer became due, and when it was last asked."""
 
     since_s: float
     sent_s: float = -inf
@@ -37,30 +37,38 @@
 
 
 class GrantSide(EstateSide):
-    """Keeps the grants of the owned endpoints."""
+    """Give, collect and release the grants of owned endpoints.
+
+    Parameters
+    ----------
+    context : Context
+        State shared with the other sides.
+    estate : Estate
+        The endpoints that this daemon owns.
+    """
 
     def __init__(self, context: Context, estate: Estate) -> None:
         super().__init__(context, estate)
-        self._gate = GrantAdmission(context)
-        self._asks: dict[_Key, _Ask] = {}
+        self._admission = GrantAdmission(context)
+        self._requests: dict[_RequestKey, _HolderRequest] = {}
         self._polled_s: dict[str, float] = {}
 
     def handlers(self) -> dict[type, Handler]:
         """See `Side.handlers`."""
         return {
             events.Tick: self._tick,
-            events.StoreResponse: self._store_replied,
-            messages.GrantRequest: self._grant_ask,
+            events.StoreResponse: self._store_response,
+            messages.GrantRequest: self._grant_request,
             messages.GrantReturned: self._grant_returned,
             messages.HeldGrants: self._grants_held,
         }
 
-    def _grant_ask(self, message: messages.GrantRequest) -> None:
+    def _grant_request(self, message: messages.GrantRequest) -> None:
         tenure = self._estate.tenures.get(message.endpoint)
         sender, now_s = self._context.sender, self._context.now_s
-        stopped = self._gate.refusal(message, now_s)
-        if stopped is not None:
-            self._refuse(message, stopped)
+        refusal = self._admission.refusal(message, now_s)
+        if refusal is not None:
+            self._refuse(message, refusal)
             return
         if (
             tenure is not None
@@ -73,26 +81,26 @@
             )
             self._context.send(sender, given)
             return
-        self._gate.leave(message)
+        self._admission.leave(message)
         self._refuse(message, Reason.NOT_LOADED)
 
-    def _refuse(self, asked: messages.GrantRequest, reason: Reason) -> None:
-        self._record_grant("grant.refused", asked)
-        refused = messages.GrantRefused(asked.attempt_id, asked.endpoint, reason)
+    def _refuse(self, request: messages.GrantRequest, reason: Reason) -> None:
+        self._record_grant("grant.refused", request)
+        refused = messages.GrantRefused(request.attempt_id, request.endpoint, reason)
         self._context.send(self._context.sender, refused)
 
-    def _record_grant(self, kind: str, asked: messages.GrantRequest) -> None:
+    def _record_grant(self, kind: str, request: messages.GrantRequest) -> None:
         self._context.record(
             kind,
-            attempt=asked.attempt_id,
-            endpoint=asked.endpoint,
-            model=str(asked.model),
+            attempt=request.attempt_id,
+            endpoint=request.endpoint,
+            model=str(request.model),
             to=self._context.sender,
         )
 
     def _grant_returned(self, message: messages.GrantReturned) -> None:
         tenure = self._estate.tenures.get(message.endpoint)
-        self._gate.leave(message)
+        self._admission.leave(message)
         if tenure is not None:
             tenure.ledger.release(message.model, message.attempt_id)
 
@@ -101,9 +109,11 @@
         host, now_s = self._context.sender, self._context.now_s
         if tenure is None or tenure.number != message.number:
             return
-        key = _Key(tenure.endpoint, tenure.number, host)
-        ask = self._asks.setdefault(key, _Ask(tenure.takeover.began_s, now_s))
-        ask.answered = True
+        key = _RequestKey(tenure.endpoint, tenure.number, host)
+        request = self._requests.setdefault(
+            key, _HolderRequest(tenure.takeover.began_s, now_s)
+        )
+        request.answered = True
         if host in tenure.takeover.unheard:
             held = zip(message.models, message.attempts, strict=True)
             for model, attempt_id in held:
@@ -112,46 +122,50 @@
                 tenure.takeover.condemn(message.condemned, now_s)
             tenure.takeover.unheard.discard(host)
         else:
-            tenure.ledger.keep_only(host, set(message.attempts), ask.since_s)
+            tenure.ledger.keep_only(host, set(message.attempts), request.since_s)
 
     def _tick(self, event: events.Tick) -> None:
-        linked = {peer.name for peer in self._context.members.peers()}
-        linked.add(self._context.host)
+        alive = {peer.name for peer in self._context.members.peers()}
+        alive.add(self._context.host)
         silent: set[str] = set()
         for tenure in self._estate.tenures.values():
-            silent |= self._ask_due(tenure, linked)
-        self._asks = {key: ask for key, ask in self._asks.items() if self._is_kept(key)}
+            silent |= self._request_due(tenure, alive)
+        self._requests = {
+            key: request
+            for key, request in self._requests.items()
+            if self._is_needed(key)
+        }
         for host in sorted(silent):
-            self._poll_life(host)
+            self._poll_liveness(host)
 
-    def _is_kept(self, key: _Key) -> bool:
+    def _is_needed(self, key: _RequestKey) -> bool:
         tenure = self._estate.tenures.get(key.endpoint)
         if tenure is None or tenure.number != key.number:
             return False
         unheard = key.host in tenure.takeover.unheard
         return unheard or key.host in tenure.ledger.holders(self._context.now_s)
 
-    def _ask_due(self, tenure: Tenure, linked: set[str]) -> set[str]:
-        """Ask the holders that are due; return those that do not answer."""
+    def _request_due(self, tenure: Tenure, alive: set[str]) -> set[str]:
+        """Ask the holders that are due; return those that have not answered."""
         now_s = self._context.now_s
         old = tenure.ledger.holders(now_s - RECONCILE_INTERVAL_S)
         silent: set[str] = set()
         for host in sorted(old | tenure.takeover.unheard):
-            key = _Key(tenure.endpoint, tenure.number, host)
-            ask = self._asks.setdefault(key, _Ask(now_s))
-            if ask.answered and now_s - ask.sent_s >= RECONCILE_INTERVAL_S:
-                ask = self._asks[key] = _Ask(now_s)
-            if ask.answered:
+            key = _RequestKey(tenure.endpoint, tenure.number, host)
+            request = self._requests.setdefault(key, _HolderRequest(now_s))
+            if request.answered and now_s - request.sent_s >= RECONCILE_INTERVAL_S:
+                request = self._requests[key] = _HolderRequest(now_s)
+            if request.answered:
                 continue
-            if now_s - ask.since_s >= SILENCE_TIMEOUT_S:
+            if now_s - request.since_s >= SILENCE_TIMEOUT_S:
                 silent.add(host)
-            if host in linked and now_s - ask.sent_s >= RETRY_INTERVAL_S:
-                ask.sent_s = now_s
-                question = messages.HeldGrantsRequest(tenure.endpoint, tenure.number)
-                self._context.send(host, question)
+            if host in alive and now_s - request.sent_s >= RETRY_INTERVAL_S:
+                request.sent_s = now_s
+                message = messages.HeldGrantsRequest(tenure.endpoint, tenure.number)
+                self._context.send(host, message)
         return silent
 
-    def _poll_life(self, host: str) -> None:
+    def _poll_liveness(self, host: str) -> None:
         now_s = self._context.now_s
         if host == self._context.host:
             return
@@ -159,11 +173,11 @@
             return
         self._polled_s[host] = now_s
         key = (LIVENESS_PREFIX + host,)
-        self._context.emit(StoreRead(f"{LIFE_TOKEN}:{host}", key))
+        self._context.emit(StoreRead(f"{LIVENESS_TOKEN}:{host}", key))
 
-    def _store_replied(self, event: events.StoreResponse) -> None:
+    def _store_response(self, event: events.StoreResponse) -> None:
         kind, _, host = event.token.partition(":")
-        if kind != LIFE_TOKEN or not event.known:
+        if kind != LIVENESS_TOKEN or not event.known:
             return
         if LIVENESS_PREFIX + host in event.values:
             return
--- a/packages/core/src/knapweedbridge_core/holder_side.py
+++ b/packages/core/src/knapweedbridge_core/holder_side.py
@@ -1,4 +1,4 @@
-"""The holder of grants: tells owners what it holds, and witnesses evictions."""
+"""The holder of grants: reports them to owners, and witnesses evictions."""
 
 from dataclasses import dataclass
 
@@ -21,12 +21,12 @@
 
 
 class HolderSide(Side):
-    """Keeps which grants this daemon has or asked for.
+    """Track the grants that this daemon holds, and witness evictions for owners.
 
     Parameters
     ----------
     context : Context
-        What it shares with the other sides.
+        State shared with the other sides.
     """
 
     def __init__(self, context: Context) -> None:
@@ -34,7 +34,7 @@
         self._held: dict[str, _Held] = {}
         self._intents: dict[tuple[str, AdapterVersion], _Intent] = {}
         self._owners: dict[str, str] = {}
-        context.watch(messages.GrantRequest, self._ask_sent)
+        context.watch(messages.GrantRequest, self._request_sent)
         context.watch(messages.GrantReturned, self._return_sent)
 
     def handlers(self) -> dict[type, Handler]:
@@ -42,13 +42,13 @@
         return {
             events.Tick: self._tick,
             messages.GrantRefused: self._grant_refused,
-            messages.HeldGrantsRequest: self._grants_ask,
-            messages.EndpointUpdate: self._slots_changed,
+            messages.HeldGrantsRequest: self._held_grants_request,
+            messages.EndpointUpdate: self._endpoint_update,
             messages.EvictionIntent: self._eviction_intent,
-            messages.EvictionFinished: self._eviction_over,
+            messages.EvictionFinished: self._eviction_finished,
         }
 
-    def _ask_sent(self, host: str, message: messages.GrantRequest) -> None:
+    def _request_sent(self, host: str, message: messages.GrantRequest) -> None:
         self._held[message.attempt_id] = _Held(message.endpoint, message.model)
 
     def _return_sent(self, host: str, message: messages.GrantReturned) -> None:
@@ -60,15 +60,15 @@
     def _grant_refused(self, message: messages.GrantRefused) -> None:
         self._held.pop(message.attempt_id, None)
 
-    def _slots_changed(self, message: messages.EndpointUpdate) -> None:
-        self._note_owner(message.endpoint, message.owner, message.number)
+    def _endpoint_update(self, message: messages.EndpointUpdate) -> None:
+        self._record_owner(message.endpoint, message.owner, message.number)
 
-    def _note_owner(self, endpoint: str, owner: str, number: int) -> None:
+    def _record_owner(self, endpoint: str, owner: str, number: int) -> None:
         if self._context.fencing_numbers.is_current(endpoint, number):
             self._context.fencing_numbers.raise_to(endpoint, number)
             self._owners[endpoint] = owner
 
-    def _grants_ask(self, message: messages.HeldGrantsRequest) -> None:
+    def _held_grants_request(self, message: messages.HeldGrantsRequest) -> None:
         endpoint, number = message.endpoint, message.number
         sender = self._context.sender
         if not self._context.fencing_numbers.is_current(endpoint, number):
@@ -76,7 +76,7 @@
             self._context.send(sender, messages.OwnerSuperseded(endpoint, highest))
             return
         before = self._owners.get(endpoint)
-        self._note_owner(endpoint, sender, number)
+        self._record_owner(endpoint, sender, number)
         if before not in (None, sender, self._context.host):
             self._context.send(before, messages.OwnerSuperseded(endpoint, number))
         self._context.send(sender, self._held_on(endpoint, number))
@@ -89,8 +89,8 @@
         }
         condemned = [
             model
-            for (place, model), intent in self._intents.items()
-            if place == endpoint and intent.number < number
+            for (intent_endpoint, model), intent in self._intents.items()
+            if intent_endpoint == endpoint and intent.number < number
         ]
         return messages.HeldGrants(
             endpoint, number, list(held), list(held.values()), condemned
@@ -104,10 +104,10 @@
             self._context.send(sender, messages.OwnerSuperseded(endpoint, highest))
             return
         self._intents[endpoint, model] = _Intent(number, self._context.now_s)
-        noted = messages.EvictionIntentAcknowledged(endpoint, model, number)
-        self._context.send(sender, noted)
+        acknowledged = messages.EvictionIntentAcknowledged(endpoint, model, number)
+        self._context.send(sender, acknowledged)
 
-    def _eviction_over(self, message: messages.EvictionFinished) -> None:
+    def _eviction_finished(self, message: messages.EvictionFinished) -> None:
         key = (message.endpoint, message.model)
         intent = self._intents.get(key)
         if intent is not None and intent.number <= message.number:
--- a/packages/core/src/knapweedbridge_core/leases.py
+++ b/packages/core/src/knapweedbridge_core/leases.py
@@ -1,4 +1,4 @@
-"""The one lease by which a daemon proves that it lives."""
+"""The lease by which a daemon proves that it is alive."""
 
 from math import inf
 
@@ -18,19 +18,24 @@
 
 
 def unpack_incarnation(value: bytes) -> int:
-    """Read the incarnation from the value of a daemon's life key."""
+    """Return the incarnation in the value of a daemon's liveness key."""
     return int(msgpack.unpackb(value)["incarnation"])
 
 
 class DaemonLease:
-    """Renews the lease; counts its life from the sending of the renewal.
+    """Renew a lease whose validity counts from the sending of the last renewal.
 
     Parameters
     ----------
     host : str
-        Whose life it proves.
+        Name of the daemon.
     incarnation : int
         Number that rises with each start of the host.
+
+    Attributes
+    ----------
+    epoch : int
+        Incremented whenever the lease becomes valid again.
     """
 
     def __init__(self, host: str, incarnation: int) -> None:
@@ -45,21 +50,21 @@
 
     @property
     def valid_until_s(self) -> float:
-        """When it lapses, on the daemon's monotonic clock, less the margin."""
+        """When it expires, on the daemon's monotonic clock, less a safety margin."""
         return self._valid_until_s
 
     def is_valid(self, now_s: float) -> bool:
-        """Tell whether nobody can have taken over from this daemon yet."""
+        """Return whether no daemon can have taken over from this one yet."""
         return now_s < self._valid_until_s
 
     def tick(self, now_s: float) -> list[Action]:
-        """Renew the lease when that is due."""
+        """Renew the lease if that is due."""
         if self._in_flight and now_s - self._sent_s < CALL_TIMEOUT_S:
             return []
         return [self._write(now_s)] if now_s >= self._due_s else []
 
-    def replied(self, reply: StoreResponse, now_s: float) -> list[Action]:
-        """Take the reply to a renewal."""
+    def handle_reply(self, reply: StoreResponse, now_s: float) -> list[Action]:
+        """Handle the reply to a renewal."""
         if reply.token != f"lease:{self._calls}":
             return []
         self._in_flight = False
--- a/packages/core/src/knapweedbridge_core/members.py
+++ b/packages/core/src/knapweedbridge_core/members.py
@@ -1,4 +1,4 @@
-"""Who lives: the platform's list corrected by what daemons tell each other."""
+"""Members of the pool: the platform's list, corrected by what daemons report."""
 
 import zlib
 from dataclasses import dataclass
@@ -11,7 +11,7 @@
 
 
 class Status(IntEnum):
-    """What is known of a daemon; of one number, the higher word counts."""
+    """Status of a daemon; of two states of equal number, the higher status wins."""
 
     UNKNOWN = 0
     ALIVE = 1
@@ -20,7 +20,7 @@
 
 
 class MemberState(NamedTuple):
-    """The word on one daemon, as it travels.
+    """State of one daemon, as sent to peers.
 
     Parameters
     ----------
@@ -29,7 +29,7 @@
     incarnation : int
         Number of its start.
     refuted : int
-        How often this start refuted that it was dead.
+        How often it refuted, since this start, that it was dead.
     status : int
         A `Status`.
     """
@@ -41,13 +41,21 @@
 
     @property
     def rank(self) -> tuple[int, int, int]:
-        """Of two words on a daemon the one of higher rank counts."""
+        """Order of the states of a daemon; the highest one holds."""
         return self.incarnation, self.refuted, self.status
 
 
 @dataclass(slots=True)
 class Member:
-    """What is known of another daemon."""
+    """What is known of another daemon.
+
+    Parameters
+    ----------
+    listed : bool
+        Whether the platform's list of hosts names it.
+    generation : int
+        Generation of the configuration in its last heartbeat.
+    """
 
     name: str
     data_centre: str
@@ -58,12 +66,12 @@
 
     @property
     def is_alive(self) -> bool:
-        """Whether it lives."""
+        """Whether it is alive, draining or not."""
         return self.state.status in (Status.ALIVE, Status.DRAINING)
 
     @property
     def draining(self) -> bool:
-        """Whether it takes nothing new."""
+        """Whether it accepts no new work."""
         return self.state.status == Status.DRAINING
 
     @property
@@ -78,19 +86,26 @@
 
 
 class Members:
-    """The daemons of the pool as this one sees them.
+    """Keep the members of the pool as this daemon sees them.
 
     Parameters
     ----------
     host, data_centre : str
-        Who this daemon is and where it stands.
+        Name of this daemon's host and the data centre that it is in.
     whole_deployment : bool
-        Whether the pool is all data centres of the list, or only its own.
+        Whether the pool spans all data centres of the list, or only its own.
 
     Attributes
     ----------
     version : int
-        Changes with every change of a member, for what is computed from them.
+        Incremented with every change of a member, to invalidate what is computed
+        from the members.
+    draining : bool
+        Whether this daemon accepts no new roles.
+    is_stale : bool
+        Whether this daemon's knowledge of the members may be stale.
+    refusing : bool
+        Whether this daemon refuses new requests.
     """
 
     def __init__(
@@ -104,7 +119,7 @@
         self._neighbours: list[str] | None = None
         self._digest = 0
         self._choices: dict[tuple[str, str | None], str | None] = {}
-        self._choices_key = (0, False, False)
+        self._cache_key = (0, False, False)
         self._available: dict[str | None, list[str]] = {}
         self.version = 0
         self.draining = False
@@ -112,7 +127,7 @@
         self.refusing = False
 
     def listed(self, hosts: tuple[ListedHost, ...]) -> list[Member]:
-        """Take the platform's list, and return who is new on it."""
+        """Apply the platform's list of hosts, and return the members new on it."""
         daemons = {
             host.name: host
             for host in hosts
@@ -143,24 +158,24 @@
         """Return a member, or None."""
         return self._members.get(host)
 
-    def take(self, state: MemberState) -> bool:
-        """Take a word on a member, and return whether it changed anything."""
+    def merge(self, state: MemberState) -> bool:
+        """Adopt a member's state if it is newer, and return whether it was."""
         member = self._members.get(state.host)
         if member is None or state.rank <= member.state.rank:
             return False
-        was_linked = member.is_alive
-        self._digest ^= _checksum(member.state) if was_linked else 0
+        was_alive = member.is_alive
+        self._digest ^= _checksum(member.state) if was_alive else 0
         member.state = MemberState(*state)
         self._digest ^= _checksum(member.state) if member.is_alive else 0
         self.version += 1
-        if was_linked != member.is_alive:
+        if was_alive != member.is_alive:
             self._neighbours = None
         if not member.is_alive and not member.listed:
             del self._members[state.host]
         return True
 
     def neighbours(self) -> list[str]:
-        """Name the few members this daemon exchanges heartbeats with."""
+        """Return the few members with which this daemon exchanges heartbeats."""
         if self._neighbours is None:
             dead = Status.DEAD
             names = [m.name for m in self._members.values() if m.state.status != dead]
@@ -168,7 +183,7 @@
         return self._neighbours
 
     def states(self) -> list[MemberState]:
-        """Return the word on each other member."""
+        """Return the known states of the other members."""
         return [
             member.state
             for member in self._members.values()
@@ -176,24 +191,24 @@
         ]
 
     def digest(self, own: MemberState) -> int:
-        """Return a checksum that members who agree on who lives have in common."""
+        """Return a checksum of the live members, equal on all daemons that agree."""
         return self._digest ^ _checksum(own)
 
     def peers(self) -> list[Member]:
-        """Return the other members that live."""
+        """Return the other members that are alive."""
         return [member for member in self._members.values() if member.is_alive]
 
     def known(self) -> list[Member]:
-        """Return all other members, whether they live or not."""
+        """Return all other members, alive or not."""
         return list(self._members.values())
 
     def choose(self, role: str, data_centre: str | None = None) -> str | None:
-        """Name the daemon that rendezvous hashing gives a role, or None.
+        """Return the daemon that rendezvous hashing assigns to a role, or None.
 
-        Computed when the members change, not at each call: roles are looked up
-        at every tick and message, and the pool is the unit that may grow.
+        The choice is cached until the members change: roles are looked up at every
+        tick and message, and the cost of a computation grows with the pool.
         """
-        self._forget_old_choices()
+        self._invalidate_choices()
         key = (role, data_centre)
         if key not in self._choices:
             names = self.available(data_centre)
@@ -201,31 +216,31 @@
         return self._choices[key]
 
     def available(self, data_centre: str | None = None) -> list[str]:
-        """Name the daemons that may take a role, this one among them.
+        """Return the daemons that may be assigned a role, this one among them.
 
-        A daemon that is unsure of what it knows, as after a pause, does not
-        name itself.
+        A daemon whose knowledge may be stale, as after a pause, does not include
+        itself.
         """
-        self._forget_old_choices()
+        self._invalidate_choices()
         if data_centre not in self._available:
-            self._available[data_centre] = self._name_available(data_centre)
+            self._available[data_centre] = self._compute_available(data_centre)
         return list(self._available[data_centre])
 
-    def _forget_old_choices(self) -> None:
+    def _invalidate_choices(self) -> None:
         key = (self.version, self.is_stale, self.draining)
-        if key != self._choices_key:
-            self._choices_key = key
+        if key != self._cache_key:
+            self._cache_key = key
             self._choices.clear()
             self._available.clear()
 
-    def _name_available(self, data_centre: str | None) -> list[str]:
+    def _compute_available(self, data_centre: str | None) -> list[str]:
         names = [
             member.name
             for member in self._members.values()
             if member.state.status == Status.ALIVE
             and data_centre in (None, member.data_centre)
         ]
-        busy = self.draining or self.is_stale
-        if not busy and data_centre in (None, self._data_centre):
+        is_excluded = self.draining or self.is_stale
+        if not is_excluded and data_centre in (None, self._data_centre):
             names.append(self._host)
         return names
--- a/packages/core/src/knapweedbridge_core/membership_messages.py
+++ b/packages/core/src/knapweedbridge_core/membership_messages.py
@@ -1,4 +1,4 @@
-"""Messages by which daemons know each other as alive."""
+"""Messages of the membership protocol."""
 
 from dataclasses import field
 from typing import Any
@@ -8,16 +8,16 @@
 
 @message
 class Heartbeat:
-    """A daemon lives, and knows this generation.
+    """The sender is alive and has this generation of the configuration.
 
     Parameters
     ----------
     refuted : int
         How often this incarnation refuted that it was dead.
     digest : int
-        Checksum of the members as the sender sees them.
+        Checksum of the live members as the sender sees them.
     states : list
-        What changed lately, each a `members.MemberState`.
+        Recent changes, each a `members.MemberState`.
     """
 
     host: str
@@ -31,21 +31,21 @@
 
 @message
 class Introduction:
-    """Once a link: where the sender's administration API listens."""
+    """Address of the sender's administration API, sent once per connection."""
 
     administration: str
 
 
 @message(tag="SilenceAsk")
 class IndirectProbeRequest:
-    """A daemon hears nothing from another and asks whether this one does."""
+    """The sender hears nothing from a daemon and asks the receiver to probe it."""
 
     host: str
 
 
 @message(tag="SilenceTold")
 class IndirectProbeResponse:
-    """Whether a daemon answered the one that was asked to try it."""
+    """Whether the probed daemon answered."""
 
     host: str
     answered: bool
@@ -53,7 +53,7 @@
 
 @message(tag="ProbeAsk")
 class ProbeRequest:
-    """Any answer will do."""
+    """Any message is a valid answer to this probe."""
 
 
 @message(tag="ProbeTold")
@@ -63,7 +63,7 @@
 
 @message(tag="MembersAsk")
 class MembersRequest:
-    """A daemon that may have missed something asks for all members."""
+    """The sender may have missed updates and asks for all members."""
 
 
 @message(tag="MembersTold")
--- a/packages/core/src/knapweedbridge_core/messages.py
+++ b/packages/core/src/knapweedbridge_core/messages.py
@@ -1,4 +1,4 @@
-"""All messages between daemons, and their encoding."""
+"""All messages between daemons, and their encoding in msgpack."""
 
 from knapweedbridge_core.claim_messages import (
     ClaimAnswered,
--- a/packages/core/src/knapweedbridge_core/owner_claims.py
+++ b/packages/core/src/knapweedbridge_core/owner_claims.py
@@ -1,4 +1,4 @@
-"""How far this daemon's claims to endpoints are, and what became of them."""
+"""The stages of this daemon's claims to endpoints, and the changes of ownership."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -9,41 +9,44 @@
 
 
 class Stage(Enum):
-    """How far a claim or a hand-over is."""
+    """Stage of a claim or of a handover."""
 
     IDLE = "idle"
     READING = "reading"
-    READING_LIFE = "reading life"
+    READING_LIVENESS = "reading life"
     CLAIMING = "claiming"
     READING_BACK = "reading back"
     OWNING = "owning"
-    HANDING = "handing over"
-    HANDING_BACK = "reading back a hand-over"
+    HANDING_OVER = "handing over"
+    READING_BACK_HANDOVER = "reading back a hand-over"
 
 
-HELD_STAGES = frozenset({Stage.OWNING, Stage.HANDING, Stage.HANDING_BACK})
+HELD_STAGES = frozenset({Stage.OWNING, Stage.HANDING_OVER, Stage.READING_BACK_HANDOVER})
 
 
 @dataclass(slots=True)
 class OwnerClaim:
-    """How this daemon's claim to an endpoint stands.
+    """State of this daemon's claim to an endpoint.
 
     Parameters
     ----------
     number : int
-        Highest fencing number known; this daemon's own where it owns.
+        Highest fencing number known; this daemon's own while it owns the endpoint.
+    since_s : float
+        When the last step began.
     epoch, asked_epoch : int
-        Epoch of the lease under which it was last confirmed, and was last asked.
-    revision, life_revision : int
-        Revisions read of the owner's record and of this daemon's life key.
+        Epochs of the lease under which ownership was last confirmed, and under which
+        the last confirmation was requested.
+    revision, liveness_revision : int
+        Revisions read of the owner record and of this daemon's liveness key.
     clean : bool
-        Whether no order of an earlier owner can be under way.
+        Whether no order of an earlier owner can be in flight.
     found : OwnerRecord, optional
-        The record read.
+        The owner record that was read.
     successor : str
-        The daemon it is handed over to.
+        The daemon to which the endpoint is being handed over.
     written : StoreWrite, optional
-        The write of the claim, to be sent again where its reply was lost.
+        The write of the claim, to be repeated if its reply was lost.
     """
 
     stage: Stage = Stage.IDLE
@@ -54,19 +57,19 @@
     revision: int = 0
     clean: bool = False
     found: OwnerRecord | None = None
-    life_revision: int = 0
+    liveness_revision: int = 0
     successor: str = ""
     written: StoreWrite | None = None
 
 
 @dataclass(slots=True, frozen=True)
 class Claimed:
-    """A claim of this daemon took effect.
+    """A claim of this daemon succeeded.
 
     Parameters
     ----------
     clean : bool
-        Whether no order of an earlier owner can be under way.
+        Whether no order of an earlier owner can be in flight.
     """
 
     endpoint: str
@@ -83,11 +86,11 @@
 
 @dataclass(slots=True, frozen=True)
 class HandedOver:
-    """The record names the successor."""
+    """The owner record names the successor."""
 
     endpoint: str
     successor: str
     number: int
 
 
-Change = Claimed | Lost | HandedOver
+OwnershipChange = Claimed | Lost | HandedOver
--- a/packages/core/src/knapweedbridge_core/owner_messages.py
+++ b/packages/core/src/knapweedbridge_core/owner_messages.py
@@ -1,4 +1,4 @@
-"""Messages of an endpoint's owner, its successors and its witnesses."""
+"""Messages between owners of endpoints, holders of grants and eviction witnesses."""
 
 from knapweedbridge_core.codec import message
 from knapweedbridge_core.names import AdapterVersion
@@ -6,7 +6,7 @@
 
 @message(tag="SlotsChanged")
 class EndpointUpdate:
-    """An owner tells what an endpoint of its own holds and runs."""
+    """An owner reports what one of its endpoints has loaded and runs."""
 
     endpoint: str
     owner: str
@@ -17,7 +17,7 @@
 
 @message(tag="GrantsAsk")
 class HeldGrantsRequest:
-    """An owner asks a holder which grants on an endpoint it keeps or waits for."""
+    """An owner asks a daemon for the grants that it holds or awaits on an endpoint."""
 
     endpoint: str
     number: int
@@ -25,7 +25,15 @@
 
 @message(tag="GrantsHeld")
 class HeldGrants:
-    """A holder tells its grants, and evictions that it witnessed the beginning of."""
+    """The sender's grants on an endpoint, and the evictions that it witnessed.
+
+    Parameters
+    ----------
+    attempts, models : list
+        The attempts with a grant, and the adapter version of each.
+    condemned : list of AdapterVersion
+        Adapter versions that an earlier owner announced to evict.
+    """
 
     endpoint: str
     number: int
@@ -36,7 +44,7 @@
 
 @message(tag="OwnerRose")
 class OwnerSuperseded:
-    """An endpoint has an owner with a higher number than the hearer's."""
+    """An endpoint has an owner with a higher fencing number than the receiver knows."""
 
     endpoint: str
     number: int
@@ -53,7 +61,7 @@
 
 @message(tag="EvictionNoted")
 class EvictionIntentAcknowledged:
-    """A witness will tell a later owner of the intent."""
+    """A witness will report the intent to a later owner."""
 
     endpoint: str
     model: AdapterVersion
@@ -71,7 +79,15 @@
 
 @message
 class HandOver:
-    """An owner gives an endpoint to its successor, whom the record names."""
+    """An owner hands an endpoint over to the successor named in the owner record.
+
+    Parameters
+    ----------
+    grant_models, grant_attempts, grant_holders : list
+        Adapter version, attempt and holder of each grant.
+    condemned : list of AdapterVersion
+        Adapter versions that an earlier owner announced to evict.
+    """
 
     endpoint: str
     number: int
--- a/packages/core/src/knapweedbridge_core/owner_side.py
+++ b/packages/core/src/knapweedbridge_core/owner_side.py
@@ -1,4 +1,4 @@
-"""The owner: lives by its lease, takes endpoints over, hands them over."""
+"""The owner of endpoints: its lease, takeovers, reports and handovers."""
 
 from collections.abc import Callable
 from math import inf
@@ -10,7 +10,13 @@
 from knapweedbridge_core.context import Context, Handler
 from knapweedbridge_core.estate import Estate, EstateSide
 from knapweedbridge_core.ledger import Ledger
-from knapweedbridge_core.owners import Change, Claimed, HandedOver, Lost, Owners
+from knapweedbridge_core.owners import (
+    Claimed,
+    HandedOver,
+    Lost,
+    Owners,
+    OwnershipChange,
+)
 from knapweedbridge_core.takeover import Takeover, wait_s
 from knapweedbridge_core.tenure import Tenure
 from knapweedbridge_core.times import (
@@ -19,15 +25,23 @@
     RETRY_INTERVAL_S,
 )
 
-RUNNING_STEP = 0.25
+RUNNING_STEP_SHARE = 0.25
 
 
 class OwnerSide(EstateSide):
-    """Owns the tenures: their beginning, their reports and their end."""
+    """Own endpoints: take them over, request their reports and hand them over.
+
+    Parameters
+    ----------
+    context : Context
+        State shared with the other sides.
+    estate : Estate
+        The endpoints that this daemon owns.
+    """
 
     def __init__(self, context: Context, estate: Estate) -> None:
         super().__init__(context, estate)
-        self._takers: dict[type, Callable[[Any], None]] = {
+        self._change_handlers: dict[type, Callable[[Any], None]] = {
             Claimed: self._claimed,
             Lost: self._lost,
             HandedOver: self._handed_over,
@@ -35,27 +49,27 @@
 
     @property
     def owners(self) -> Owners:
-        """The claims."""
+        """Claims of this daemon to endpoints."""
         return self._estate.owners
 
     @property
     def tenures(self) -> dict[str, Tenure]:
-        """The endpoints this daemon owns."""
+        """State of the endpoints that this daemon owns."""
         return self._estate.tenures
 
     def handlers(self) -> dict[type, Handler]:
         """See `Side.handlers`."""
         return {
             events.Tick: self._tick,
-            events.DrainStarted: self._drain_began,
-            events.PeerConnected: self._peer_linked,
-            events.PeerMessage: self._peer_heard,
-            events.StoreResponse: self._store_replied,
+            events.DrainStarted: self._drain_started,
+            events.PeerConnected: self._peer_connected,
+            events.PeerMessage: self._peer_message,
+            events.StoreResponse: self._store_response,
             events.EndpointReported: self._endpoint_reported,
-            messages.EndpointUpdate: self._slots_changed,
-            messages.OwnerSuperseded: self._owner_rose,
-            messages.HeldGrantsRequest: self._grants_ask,
-            messages.HandOver: self._hand_over_heard,
+            messages.EndpointUpdate: self._endpoint_update,
+            messages.OwnerSuperseded: self._owner_superseded,
+            messages.HeldGrantsRequest: self._held_grants_request,
+            messages.HandOver: self._accept_handover,
         }
 
     def _tick(self, event: events.Tick) -> None:
@@ -64,12 +78,12 @@
             self._context.emit(action)
         self._claim()
         for entry in self._context.engines():
-            self._look_after(entry)
+            self._update_endpoint(entry)
         for tenure in list(self.tenures.values()):
             if tenure.endpoint not in self._context.configuration.endpoints:
                 del self.tenures[tenure.endpoint]
                 continue
-            self._ask_report(tenure)
+            self._request_report(tenure)
             self._publish_if_due(tenure)
 
     def _claim(self) -> None:
@@ -77,7 +91,7 @@
         for action in self.owners.tick(self._context.engines(), now_s):
             self._context.emit(action)
 
-    def _look_after(self, entry: EndpointEntry) -> None:
+    def _update_endpoint(self, entry: EndpointEntry) -> None:
         number = self.owners.number(entry.name)
         if number is None:
             return
@@ -98,28 +112,28 @@
         for action in self.owners.hand_over(entry.name, successor, now_s):
             self._context.emit(action)
 
-    def _drain_began(self, event: events.DrainStarted) -> None:
+    def _drain_started(self, event: events.DrainStarted) -> None:
         for entry in self._context.engines():
-            self._look_after(entry)
+            self._update_endpoint(entry)
 
-    def _store_replied(self, event: events.StoreResponse) -> None:
+    def _store_response(self, event: events.StoreResponse) -> None:
         now_s = self._context.now_s
         if event.token.startswith("lease:"):
             before = self._estate.lease.epoch
-            for action in self._estate.lease.replied(event, now_s):
+            for action in self._estate.lease.handle_reply(event, now_s):
                 self._context.emit(action)
             if self._estate.lease.epoch != before:
                 self._context.record("lease.begun", epoch=before + 1)
                 self._claim()
             return
-        actions, changes = self.owners.replied(event, now_s)
+        actions, changes = self.owners.handle_reply(event, now_s)
         for action in actions:
             self._context.emit(action)
-        self._take_changes(changes)
+        self._apply_changes(changes)
 
-    def _take_changes(self, changes: list[Change]) -> None:
+    def _apply_changes(self, changes: list[OwnershipChange]) -> None:
         for change in changes:
-            self._takers[type(change)](change)
+            self._change_handlers[type(change)](change)
 
     def _claimed(self, change: Claimed) -> None:
         entry = self._context.configuration.endpoints.get(change.endpoint)
@@ -133,19 +147,19 @@
         ledger = Ledger(entry.slots, settled_s)
         tenure = Tenure(entry.name, number, entry.checks_fencing, ledger, takeover)
         self.tenures[entry.name] = tenure
-        self._ask_holders(tenure)
-        self._ask_report(tenure)
+        self._request_held_grants(tenure)
+        self._request_report(tenure)
 
     def _possible_holders(self) -> set[str]:
         members = self._context.members
         return {member.name for member in members.known()} | {self._context.host}
 
-    def _ask_holders(self, tenure: Tenure) -> None:
-        linked = {peer.name for peer in self._context.members.peers()}
-        ask = messages.HeldGrantsRequest(tenure.endpoint, tenure.number)
+    def _request_held_grants(self, tenure: Tenure) -> None:
+        alive = {peer.name for peer in self._context.members.peers()}
+        request = messages.HeldGrantsRequest(tenure.endpoint, tenure.number)
         for host in sorted(tenure.takeover.unheard):
-            if host in linked or host == self._context.host:
-                self._context.send(host, ask)
+            if host in alive or host == self._context.host:
+                self._context.send(host, request)
 
     def _lost(self, change: Lost) -> None:
         if self.tenures.pop(change.endpoint, None) is not None:
@@ -169,9 +183,11 @@
             ),
         )
 
-    def _hand_over_heard(self, message: messages.HandOver) -> None:
+    def _accept_handover(self, message: messages.HandOver) -> None:
         entry = self._context.configuration.endpoints.get(message.endpoint)
-        if entry is None or not self.owners.accept(message.endpoint, message.number):
+        if entry is None or not self.owners.accept_handover(
+            message.endpoint, message.number
+        ):
             return
         now_s = self._context.now_s
         ledger = Ledger(entry.slots)
@@ -196,7 +212,7 @@
             "owner.claimed", endpoint=entry.name, number=message.number
         )
         self._claim()
-        self._ask_report(tenure)
+        self._request_report(tenure)
         self._estate.publish(tenure)
 
     def _endpoint_reported(self, event: events.EndpointReported) -> None:
@@ -210,48 +226,49 @@
         if first or tenure.published != self._estate.grantable(tenure):
             self._estate.publish(tenure)
 
-    def _ask_report(self, tenure: Tenure) -> None:
+    def _request_report(self, tenure: Tenure) -> None:
         now_s = self._context.now_s
         wanted_s = tenure.ledger.wanted_report_s
         in_doubt = tenure.reported_s <= wanted_s < now_s
         old = now_s - tenure.reported_s >= REPORT_MAX_AGE_S
-        asked = now_s - tenure.report_asked_s < RETRY_INTERVAL_S
-        if asked or not (in_doubt or old or not tenure.ready):
+        requested = now_s - tenure.report_requested_s < RETRY_INTERVAL_S
+        if requested or not (in_doubt or old or not tenure.ready):
             return
         entry = self._context.configuration.endpoints[tenure.endpoint]
-        tenure.report_asked_s = now_s
+        tenure.report_requested_s = now_s
         self._context.emit(RequestReport(entry.name, entry.address, tenure.number))
 
     def _publish_if_due(self, tenure: Tenure) -> None:
         running = tenure.ledger.running
-        step = max(2.0, RUNNING_STEP * tenure.published_running)
+        step = max(2.0, RUNNING_STEP_SHARE * tenure.published_running)
         moved = abs(running - tenure.published_running) >= step
         stale = self._context.now_s - tenure.published_s >= REFRESH_INTERVAL_S
         if moved or stale or tenure.published != self._estate.grantable(tenure):
             self._estate.publish(tenure)
 
-    def _peer_heard(self, event: events.PeerMessage) -> None:
+    def _peer_message(self, event: events.PeerMessage) -> None:
         self._estate.heard(event.host)
 
-    def _peer_linked(self, event: events.PeerConnected) -> None:
+    def _peer_connected(self, event: events.PeerConnected) -> None:
         for tenure in self.tenures.values():
             tenure.published_s = -inf
 
-    def _slots_changed(self, message: messages.EndpointUpdate) -> None:
-        self._raise(message.endpoint, message.number)
+    def _endpoint_update(self, message: messages.EndpointUpdate) -> None:
+        self._compare_number(message.endpoint, message.number)
 
-    def _owner_rose(self, message: messages.OwnerSuperseded) -> None:
-        self._raise(message.endpoint, message.number)
+    def _owner_superseded(self, message: messages.OwnerSuperseded) -> None:
+        self._compare_number(message.endpoint, message.number)
 
-    def _grants_ask(self, message: messages.HeldGrantsRequest) -> None:
-        self._raise(message.endpoint, message.number)
+    def _held_grants_request(self, message: messages.HeldGrantsRequest) -> None:
+        self._compare_number(message.endpoint, message.number)
 
-    def _raise(self, endpoint: str, number: int) -> None:
+    def _compare_number(self, endpoint: str, number: int) -> None:
+        """Give up an endpoint for a higher number; answer a lower one."""
         if self._context.sender == self._context.host:
             return
         tenure = self.tenures.get(endpoint)
         if tenure is not None and number < tenure.number:
-            rose = messages.OwnerSuperseded(endpoint, tenure.number)
-            self._context.send(self._context.sender, rose)
+            superseded = messages.OwnerSuperseded(endpoint, tenure.number)
+            self._context.send(self._context.sender, superseded)
             return
-        self._take_changes(self.owners.record_superseded(endpoint, number))
+        self._apply_changes(self.owners.record_superseded(endpoint, number))
--- a/packages/core/src/knapweedbridge_core/owners.py
+++ b/packages/core/src/knapweedbridge_core/owners.py
@@ -1,8 +1,8 @@
-"""Which endpoints this daemon owns, each with a fencing number that only rises.
+"""Ownership of endpoints, each with a fencing number that only rises.
 
-An owner's record in the service changes only when the owner changes, by
-compare-and-swap over the record and the life keys of both daemons: a daemon whose
-lease stands cannot lose an endpoint unless it hands it over.
+The owner record in the key-value service changes only when the owner changes, by
+compare-and-swap over the record and the liveness keys of both daemons: a daemon with a
+valid lease cannot lose an endpoint unless it hands it over.
 """
 
 from knapweedbridge_core.actions import Action, Record, StoreRead, StoreWrite
@@ -13,21 +13,21 @@
 from knapweedbridge_core.members import Members
 from knapweedbridge_core.owner_claims import (
     HELD_STAGES,
-    Change,
     Claimed,
     HandedOver,
     Lost,
     OwnerClaim,
+    OwnershipChange,
     Stage,
 )
 from knapweedbridge_core.owner_records import ANY_INCARNATION, OWNER_KEY, OwnerRecord
 from knapweedbridge_core.times import CALL_TIMEOUT_S, RETRY_INTERVAL_S
 
-__all__ = ["Change", "Claimed", "HandedOver", "Lost", "Owners", "Stage"]
+__all__ = ["Claimed", "HandedOver", "Lost", "Owners", "OwnershipChange", "Stage"]
 
 
 class Owners:
-    """Claims, keeps and hands over endpoints.
+    """Claim, keep and hand over endpoints.
 
     Parameters
     ----------
@@ -36,9 +36,9 @@
     incarnation : int
         Number that rises with each start of the host.
     members : Members
-        Who may own.
+        The daemons that may own endpoints.
     lease : DaemonLease
-        Proof that this daemon lives.
+        Proof that this daemon is alive.
     """
 
     def __init__(
@@ -49,15 +49,15 @@
         self._computed = ComputedOwners(members)
         self._lease = lease
         self._claims: dict[str, OwnerClaim] = {}
-        self._takers = {
+        self._reply_handlers = {
             "owner-read": self._read,
-            "owner-life": self._read_life,
+            "owner-life": self._read_liveness,
             "owner-claim": self._claimed,
             "owner-back": self._read_back,
             "owner-verify": self._verified,
-            "owner-hand-read": self._hand_read,
-            "owner-hand": self._handed,
-            "owner-hand-back": self._handed_back,
+            "owner-hand-read": self._read_for_handover,
+            "owner-hand": self._handover_written,
+            "owner-hand-back": self._handover_read_back,
         }
 
     def number(self, endpoint: str) -> int | None:
@@ -68,33 +68,33 @@
         return claim.number
 
     def holds(self, endpoint: str, now_s: float) -> bool:
-        """Tell whether nobody else can own the endpoint at this time."""
+        """Return whether no other daemon can own the endpoint at this time."""
         claim = self._claims.get(endpoint)
         if claim is None or claim.stage not in HELD_STAGES:
             return False
         return self._lease.is_valid(now_s) and claim.epoch == self._lease.epoch
 
     def is_handing_over(self, endpoint: str) -> bool:
-        """Tell whether the endpoint is on its way to another owner."""
+        """Return whether the endpoint is being handed over."""
         claim = self._claims.get(endpoint)
         return claim is not None and claim.stage in HELD_STAGES - {Stage.OWNING}
 
     def computed_owner(self, entry: EndpointEntry) -> str | None:
-        """Name the daemon that should own an endpoint."""
+        """Return the daemon that should own an endpoint."""
         return self._computed.owner(entry)
 
     def tick(self, endpoints: list[EndpointEntry], now_s: float) -> list[Action]:
-        """Start the claims and checks that are due."""
+        """Return the actions for claims and checks that are due."""
         if not self._lease.is_valid(now_s):
             return []
         actions: list[Action] = []
         for entry in endpoints:
             claim = self._claims.setdefault(entry.name, OwnerClaim())
             if claim.stage in HELD_STAGES:
-                actions += self._check(entry.name, claim, now_s)
+                actions += self._verify_if_due(entry.name, claim, now_s)
             elif claim.stage is Stage.READING_BACK and self._is_due(claim, now_s):
                 claim.since_s = now_s
-                actions.append(self._ask_back(entry.name))
+                actions.append(self._read_record_back(entry.name))
             elif (
                 self._is_due(claim, now_s) and self.computed_owner(entry) == self._host
             ):
@@ -109,37 +109,44 @@
         pause_s = RETRY_INTERVAL_S if settled else CALL_TIMEOUT_S
         return now_s - claim.since_s >= pause_s
 
-    def _check(self, endpoint: str, claim: OwnerClaim, now_s: float) -> list[Action]:
-        # After a lapse another daemon may have claimed; the record, read after this
-        # daemon's life key stands again, says whether one has, and then none can.
+    def _verify_if_due(
+        self, endpoint: str, claim: OwnerClaim, now_s: float
+    ) -> list[Action]:
+        # After the lease expired, another daemon may have claimed the endpoint. Once
+        # this daemon's liveness key exists again no other daemon can, so the record
+        # read after that is conclusive.
         if now_s - claim.since_s < RETRY_INTERVAL_S:
             return []
-        if claim.stage is Stage.HANDING_BACK:
+        if claim.stage is Stage.READING_BACK_HANDOVER:
             claim.since_s = now_s
-            return [self._ask_handed(endpoint)]
+            return [self._read_handover_back(endpoint)]
         if claim.epoch == self._lease.epoch:
             return []
         claim.since_s, claim.asked_epoch = now_s, self._lease.epoch
         return [StoreRead(f"owner-verify:{endpoint}", (OWNER_KEY + endpoint,))]
 
     def hand_over(self, endpoint: str, successor: str, now_s: float) -> list[Action]:
-        """Begin to name a successor in the record."""
+        """Begin to write a successor into the owner record."""
         claim = self._claims[endpoint]
         if claim.stage is not Stage.OWNING:
             return []
-        claim.stage, claim.successor, claim.since_s = Stage.HANDING, successor, now_s
+        claim.stage, claim.successor, claim.since_s = (
+            Stage.HANDING_OVER,
+            successor,
+            now_s,
+        )
         return [StoreRead(f"owner-hand-read:{endpoint}", (OWNER_KEY + endpoint,))]
 
-    def accept(self, endpoint: str, number: int) -> bool:
-        """Take an endpoint from its owner's hands; False where it is outdated."""
+    def accept_handover(self, endpoint: str, number: int) -> bool:
+        """Own an endpoint that was handed over; return False if this is outdated."""
         claim = self._claims.setdefault(endpoint, OwnerClaim())
         if claim.number >= number:
             return False
         self._claims[endpoint] = OwnerClaim(Stage.OWNING, number, epoch=-1)
         return True
 
-    def record_superseded(self, endpoint: str, number: int) -> list[Change]:
-        """Take that another owner has a number."""
+    def record_superseded(self, endpoint: str, number: int) -> list[OwnershipChange]:
+        """Record that another daemon owns an endpoint under a fencing number."""
         claim = self._claims.get(endpoint)
         if claim is None or claim.number >= number:
             return []
@@ -147,16 +154,16 @@
         self._claims[endpoint] = OwnerClaim(number=number)
         return [Lost(endpoint)] if held else []
 
-    def replied(
+    def handle_reply(
         self, reply: StoreResponse, now_s: float
-    ) -> tuple[list[Action], list[Change]]:
-        """Take a reply of the service."""
+    ) -> tuple[list[Action], list[OwnershipChange]]:
+        """Handle a reply of the service; return actions and changes of ownership."""
         step, _, endpoint = reply.token.partition(":")
         claim = self._claims.get(endpoint)
-        taker = self._takers.get(step)
-        if claim is None or taker is None:
+        handler = self._reply_handlers.get(step)
+        if claim is None or handler is None:
             return [], []
-        return taker(endpoint, claim, reply, now_s)
+        return handler(endpoint, claim, reply, now_s)
 
     @staticmethod
     def _record_in(reply: StoreResponse, endpoint: str) -> tuple[OwnerRecord, int]:
@@ -166,69 +173,71 @@
 
     def _read(
         self, endpoint: str, claim: OwnerClaim, reply: StoreResponse, now_s: float
-    ) -> tuple[list[Action], list[Change]]:
+    ) -> tuple[list[Action], list[OwnershipChange]]:
         if claim.stage is not Stage.READING:
             return [], []
         if not reply.known:
             claim.stage = Stage.IDLE
             return [], []
         claim.found, claim.revision = self._record_in(reply, endpoint)
-        claim.life_revision = reply.values.get(self._lease.key, (b"", 0))[1]
+        claim.liveness_revision = reply.values.get(self._lease.key, (b"", 0))[1]
         found = claim.found
-        handed = found.owner == self._host and found.incarnation == ANY_INCARNATION
-        claim.clean = not found.owner or handed
+        was_handed_over = (
+            found.owner == self._host and found.incarnation == ANY_INCARNATION
+        )
+        claim.clean = not found.owner or was_handed_over
         if found.owner in ("", self._host):
             return [self._write_claim(endpoint, claim, {}, now_s)], []
-        claim.stage = Stage.READING_LIFE
+        claim.stage = Stage.READING_LIVENESS
         key = LIVENESS_PREFIX + found.owner
         return [StoreRead(f"owner-life:{endpoint}", (key,))], []
 
-    def _read_life(
+    def _read_liveness(
         self, endpoint: str, claim: OwnerClaim, reply: StoreResponse, now_s: float
-    ) -> tuple[list[Action], list[Change]]:
-        if claim.stage is not Stage.READING_LIFE or claim.found is None:
+    ) -> tuple[list[Action], list[OwnershipChange]]:
+        if claim.stage is not Stage.READING_LIVENESS or claim.found is None:
             return [], []
         key = LIVENESS_PREFIX + claim.found.owner
         value, revision = reply.values.get(key, (b"", 0))
-        if not reply.known or self._lives(claim.found, value):
+        if not reply.known or self._is_owner_alive(claim.found, value):
             claim.stage = Stage.IDLE
             return [], []
         return [self._write_claim(endpoint, claim, {key: revision}, now_s)], []
 
     @staticmethod
-    def _lives(found: OwnerRecord, life: bytes) -> bool:
-        if not life:
+    def _is_owner_alive(found: OwnerRecord, liveness: bytes) -> bool:
+        if not liveness:
             return False
-        return found.incarnation in (ANY_INCARNATION, unpack_incarnation(life))
+        return found.incarnation in (ANY_INCARNATION, unpack_incarnation(liveness))
 
     def _write_claim(
-        self, endpoint: str, claim: OwnerClaim, lives: dict[str, int], now_s: float
+        self, endpoint: str, claim: OwnerClaim, liveness: dict[str, int], now_s: float
     ) -> Action:
         assert claim.found is not None
         claim.stage, claim.since_s = Stage.CLAIMING, now_s
         claim.number = claim.found.number + 1
         claim.asked_epoch = self._lease.epoch
         key = OWNER_KEY + endpoint
-        compares = {key: claim.revision, self._lease.key: claim.life_revision}
+        compares = {key: claim.revision, self._lease.key: claim.liveness_revision}
         record = OwnerRecord(self._host, self._incarnation, claim.number)
         puts = {key: record.pack()}
         token = f"owner-claim:{endpoint}"
-        claim.written = StoreWrite(token, {**compares, **lives}, puts)
+        claim.written = StoreWrite(token, {**compares, **liveness}, puts)
         return claim.written
 
     def _claimed(
         self, endpoint: str, claim: OwnerClaim, reply: StoreResponse, now_s: float
-    ) -> tuple[list[Action], list[Change]]:
+    ) -> tuple[list[Action], list[OwnershipChange]]:
         if claim.stage is not Stage.CLAIMING:
             return [], []
         if not reply.known or not reply.applied:
             claim.stage, claim.since_s = Stage.READING_BACK, now_s
-            return [self._ask_back(endpoint)], []
+            return [self._read_record_back(endpoint)], []
         return self._won(endpoint, claim)
 
     def _won(
         self, endpoint: str, claim: OwnerClaim
-    ) -> tuple[list[Action], list[Change]]:
+    ) -> tuple[list[Action], list[OwnershipChange]]:
         claim.stage, claim.epoch = Stage.OWNING, claim.asked_epoch
         fields = {"endpoint": endpoint, "number": claim.number}
         change = Claimed(endpoint, claim.number, claim.clean)
@@ -236,27 +245,28 @@
 
     def _read_back(
         self, endpoint: str, claim: OwnerClaim, reply: StoreResponse, now_s: float
-    ) -> tuple[list[Action], list[Change]]:
+    ) -> tuple[list[Action], list[OwnershipChange]]:
         if claim.stage is not Stage.READING_BACK or not reply.known:
             return [], []
         found, revision = self._record_in(reply, endpoint)
         if found == OwnerRecord(self._host, self._incarnation, claim.number):
             return self._won(endpoint, claim)
         if revision == claim.revision and claim.written is not None:
-            # The lost write may land yet: the same write again either lands in its
-            # place or fails because it did, so one of the two replies settles it.
+            # The write whose reply was lost may still take effect. The same write
+            # again either succeeds in its place or fails because it took effect, so
+            # one of the two replies is conclusive.
             claim.stage, claim.since_s = Stage.CLAIMING, now_s
             return [claim.written], []
         claim.stage = Stage.IDLE
         return [], []
 
     @staticmethod
-    def _ask_back(endpoint: str) -> Action:
+    def _read_record_back(endpoint: str) -> Action:
         return StoreRead(f"owner-back:{endpoint}", (OWNER_KEY + endpoint,))
 
     def _verified(
         self, endpoint: str, claim: OwnerClaim, reply: StoreResponse, now_s: float
-    ) -> tuple[list[Action], list[Change]]:
+    ) -> tuple[list[Action], list[OwnershipChange]]:
         if claim.stage not in HELD_STAGES or not reply.known:
             return [], []
         found, _ = self._record_in(reply, endpoint)
@@ -267,10 +277,10 @@
             return [], []
         return [], self.record_superseded(endpoint, max(found.number, claim.number + 1))
 
-    def _hand_read(
+    def _read_for_handover(
         self, endpoint: str, claim: OwnerClaim, reply: StoreResponse, now_s: float
-    ) -> tuple[list[Action], list[Change]]:
-        if claim.stage is not Stage.HANDING:
+    ) -> tuple[list[Action], list[OwnershipChange]]:
+        if claim.stage is not Stage.HANDING_OVER:
             return [], []
         found, revision = self._record_in(reply, endpoint)
         if not reply.known:
@@ -288,37 +298,38 @@
         puts = {key: record.pack()}
         return StoreWrite(f"owner-hand:{endpoint}", {key: revision}, puts)
 
-    def _handed(
+    def _handover_written(
         self, endpoint: str, claim: OwnerClaim, reply: StoreResponse, now_s: float
-    ) -> tuple[list[Action], list[Change]]:
-        if claim.stage is not Stage.HANDING:
+    ) -> tuple[list[Action], list[OwnershipChange]]:
+        if claim.stage is not Stage.HANDING_OVER:
             return [], []
         if reply.known and reply.applied:
-            return self._gave(endpoint, claim)
-        claim.stage, claim.since_s = Stage.HANDING_BACK, now_s
-        return [self._ask_handed(endpoint)], []
+            return self._complete_handover(endpoint, claim)
+        claim.stage, claim.since_s = Stage.READING_BACK_HANDOVER, now_s
+        return [self._read_handover_back(endpoint)], []
 
     @staticmethod
-    def _ask_handed(endpoint: str) -> Action:
+    def _read_handover_back(endpoint: str) -> Action:
         return StoreRead(f"owner-hand-back:{endpoint}", (OWNER_KEY + endpoint,))
 
-    def _handed_back(
+    def _handover_read_back(
         self, endpoint: str, claim: OwnerClaim, reply: StoreResponse, now_s: float
-    ) -> tuple[list[Action], list[Change]]:
-        if claim.stage is not Stage.HANDING_BACK or not reply.known:
+    ) -> tuple[list[Action], list[OwnershipChange]]:
+        if claim.stage is not Stage.READING_BACK_HANDOVER or not reply.known:
             return [], []
         found, revision = self._record_in(reply, endpoint)
         if (found.owner, found.number) == (claim.successor, claim.number + 1):
-            return self._gave(endpoint, claim)
+            return self._complete_handover(endpoint, claim)
         if (found.owner, found.number) == (self._host, claim.number):
-            # The lost write may land yet, so this daemon may not keep the endpoint.
-            claim.stage = Stage.HANDING
+            # The write whose reply was lost may still take effect, so this daemon may
+            # not keep the endpoint.
+            claim.stage = Stage.HANDING_OVER
             return [self._write_successor(endpoint, claim, revision)], []
         return [], self.record_superseded(endpoint, max(found.number, claim.number + 1))
 
-    def _gave(
+    def _complete_handover(
         self, endpoint: str, claim: OwnerClaim
-    ) -> tuple[list[Action], list[Change]]:
+    ) -> tuple[list[Action], list[OwnershipChange]]:
         number = claim.number + 1
         successor = claim.successor
         self._claims[endpoint] = OwnerClaim(number=number)
--- a/packages/core/src/knapweedbridge_core/peer_events.py
+++ b/packages/core/src/knapweedbridge_core/peer_events.py
@@ -1,4 +1,4 @@
-"""What the streams between daemons tell."""
+"""Events of the streams between daemons."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -6,21 +6,21 @@
 
 @dataclass(slots=True, frozen=True)
 class PeerConnected:
-    """A stream to a peer stands."""
+    """A stream to a peer is open."""
 
     host: str
 
 
 @dataclass(slots=True, frozen=True)
 class PeerDisconnected:
-    """No stream to the peer stands."""
+    """No stream to a peer is open any more."""
 
     host: str
 
 
 @dataclass(slots=True, frozen=True)
 class PeerMessage:
-    """A peer sent a message."""
+    """A message arrived from a peer."""
 
     host: str
     message: Any
--- a/packages/core/src/knapweedbridge_core/pool.py
+++ b/packages/core/src/knapweedbridge_core/pool.py
@@ -1,4 +1,4 @@
-"""What the load order reads of the pool."""
+"""The state of the pool that load decisions read."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -10,18 +10,18 @@
 
 @dataclass(slots=True)
 class Pool:
-    """What a decision reads of the pool.
+    """Engines and loaded adapters on which a load decision is based.
 
     Parameters
     ----------
     engines : list of EndpointEntry
         Model engines that are not leaving.
     view : View
-        What they hold, as their owners tell.
+        State of the endpoints as their owners last reported it.
     base_model_of : callable
-        Names the base model of an adapter version, or None if it is gone.
+        Returns the base model of an adapter version, or None if it was removed.
     loads_per_s : float
-        Loads a second that this order may start.
+        Number of loads per second that this load order may start.
     """
 
     engines: list[EndpointEntry]
@@ -30,9 +30,9 @@
     loads_per_s: float
 
     def holders(self, model: AdapterVersion) -> list[str]:
-        """Name the engines of the pool that hold an adapter version.
+        """Return the engines of the pool that have an adapter version loaded.
 
-        The view may still show what an engine holds that is leaving.
+        Engines that are leaving, which the view may still contain, are left out.
         """
         names = self.view.holders(model)
         if not names:
@@ -40,5 +40,5 @@
         return [entry.name for entry in self.engines if entry.name in names]
 
     def copies(self, model: AdapterVersion) -> int:
-        """Count the engines of the pool that hold an adapter version."""
+        """Return the number of engines that have an adapter version loaded."""
         return len(self.holders(model))
--- a/packages/core/src/knapweedbridge_core/rings.py
+++ b/packages/core/src/knapweedbridge_core/rings.py
@@ -1,18 +1,18 @@
-"""Chooses the few members that a daemon exchanges heartbeats with.
+"""Choice of the few members with which a daemon exchanges heartbeats.
 
-The members stand on three rings, each in an order of its own; a daemon's
-neighbours are those beside it on each ring. So being neighbours is mutual,
-their number does not grow with the pool, a change of the pool moves few of
-them, and news crosses the pool in few steps.
+The members are placed on several rings, each in its own order; the neighbours of a
+daemon are the members next to it on each ring. Being neighbours is therefore mutual,
+the number of neighbours does not grow with the pool, a change of the pool affects
+few of them, and news crosses the pool in few hops.
 """
 
 import hashlib
 
-RINGS = 3
+RING_COUNT = 3
 
 
 class Rings:
-    """The rings as one daemon sees them.
+    """Order the members on rings and find the neighbours of one daemon.
 
     Parameters
     ----------
@@ -22,23 +22,23 @@
 
     def __init__(self, host: str) -> None:
         self._host = host
-        self._places: dict[str, tuple[bytes, ...]] = {}
+        self._positions: dict[str, tuple[bytes, ...]] = {}
 
     def neighbours(self, others: list[str]) -> list[str]:
-        """Return the names beside this host, two a ring, each once."""
+        """Return the members next to this host, two on each ring, without repeats."""
         names = [self._host, *others]
-        self._places = {name: self._places_of(name) for name in names}
+        self._positions = {name: self._positions_of(name) for name in names}
         found: dict[str, None] = {}
-        for at in range(RINGS):
-            ordered = sorted(names, key=lambda name: self._places[name][at])
+        for ring in range(RING_COUNT):
+            ordered = sorted(names, key=lambda name: self._positions[name][ring])
             own = ordered.index(self._host)
             for step in (-1, 1):
                 found[ordered[(own + step) % len(ordered)]] = None
         found.pop(self._host, None)
         return list(found)
 
-    def _places_of(self, name: str) -> tuple[bytes, ...]:
-        return self._places.get(name) or tuple(
+    def _positions_of(self, name: str) -> tuple[bytes, ...]:
+        return self._positions.get(name) or tuple(
             hashlib.blake2b(f"{ring} {name}".encode(), digest_size=8).digest()
-            for ring in range(RINGS)
+            for ring in range(RING_COUNT)
         )
--- a/packages/core/src/knapweedbridge_core/tenure.py
+++ b/packages/core/src/knapweedbridge_core/tenure.py
@@ -1,4 +1,4 @@
-"""One endpoint while this daemon owns it."""
+"""State of an endpoint while this daemon owns it."""
 
 from dataclasses import dataclass, field
 from math import inf
@@ -10,23 +10,29 @@
 
 @dataclass(slots=True)
 class Tenure:
-    """What the owner keeps of an endpoint.
+    """State of an endpoint that this daemon owns.
 
     Parameters
     ----------
+    number : int
+        Fencing number of this daemon as the owner.
+    checks_fencing : bool
+        Whether the endpoint rejects orders with outdated fencing numbers.
     ready : bool
-        Whether a report, or the earlier owner, told what the slots hold.
-    reported_s, report_asked_s : float
-        When the newest report was taken, and the last one asked for.
-    published : list of AdapterVersion
-        What the peers were told last.
+        Whether the content of the slots is known, from a report or from the previous
+        owner.
     closing : bool
         Whether no new order is begun, so that the endpoint can be handed over.
     lost_majority : bool
-        Whether, since the record was last known to hold, this daemon was out of
-        touch with most others.
+        Whether this daemon was out of contact with most others since the owner
+        record was last known to be valid.
+    reported_s, report_requested_s : float
+        When the newest report was taken, and when a report was last requested.
+    published : list of AdapterVersion
+        Adapter versions in the last update to the peers.
     announced_evictions : dict of AdapterVersion to float
-        Evictions told to witnesses and not ordered yet, and since when.
+        Evictions announced to witnesses and not ordered yet, with the time of the
+        announcement in seconds.
     """
 
     endpoint: str
@@ -38,7 +44,7 @@
     closing: bool = False
     lost_majority: bool = False
     reported_s: float = -inf
-    report_asked_s: float = -inf
+    report_requested_s: float = -inf
     published: list[AdapterVersion] = field(default_factory=list)
     published_running: int = 0
     published_s: float = -inf
--- a/packages/core/src/knapweedbridge_core/view.py
+++ b/packages/core/src/knapweedbridge_core/view.py
@@ -1,4 +1,4 @@
-"""What this daemon knows of the pool's endpoints, as their owners tell it."""
+"""What this daemon knows of the pool's endpoints, from their owners' updates."""
 
 from dataclasses import dataclass, field
 
@@ -8,7 +8,7 @@
 
 @dataclass(slots=True)
 class EndpointView:
-    """The last word of an endpoint's owner."""
+    """State of an endpoint as its owner last reported it."""
 
     owner: str
     number: int
@@ -18,20 +18,20 @@
 
 @dataclass(slots=True)
 class View:
-    """All endpoints of the pool."""
+    """State of all endpoints of the pool."""
 
     endpoints: dict[str, EndpointView] = field(default_factory=dict)
     _holders: dict[AdapterVersion, dict[str, None]] = field(default_factory=dict)
 
     def apply_update(self, message: EndpointUpdate) -> None:
-        """Take an owner's word; one of an older owner is dropped."""
+        """Apply an owner's update, unless a newer owner has already sent one."""
         held = self.endpoints.get(message.endpoint)
         if held is not None and held.number > message.number:
             return
         loaded = set(message.loaded)
         before = held.loaded if held is not None else set()
         for model in before - loaded:
-            self._drop(model, message.endpoint)
+            self._remove_holder(model, message.endpoint)
         for model in loaded - before:
             self._holders.setdefault(model, {})[message.endpoint] = None
         self.endpoints[message.endpoint] = EndpointView(
@@ -39,24 +39,24 @@
         )
 
     def sent(self, endpoint: str) -> None:
-        """Count a request sent since the owner's last word."""
+        """Count a request sent since the owner's last update."""
         self.endpoints[endpoint].running += 1
 
     def ended(self, endpoint: str) -> None:
-        """Count a request of this daemon's no more."""
+        """Stop counting a request that this daemon sent."""
         view = self.endpoints.get(endpoint)
         if view is not None:
             view.running = max(0, view.running - 1)
 
     def holders(self, model: AdapterVersion) -> list[str]:
-        """Name the endpoints that hold an adapter version."""
+        """Return the endpoints that have an adapter version loaded."""
         return list(self._holders.get(model, ()))
 
     def copies(self, model: AdapterVersion) -> int:
-        """Count the endpoints that hold an adapter version."""
+        """Return the number of endpoints that have an adapter version loaded."""
         return len(self._holders.get(model, ()))
 
-    def _drop(self, model: AdapterVersion, endpoint: str) -> None:
+    def _remove_holder(self, model: AdapterVersion, endpoint: str) -> None:
         names = self._holders.get(model, {})
         names.pop(endpoint, None)
         if not names:
