--- a/features/members/configuration.feature
+++ b/features/members/configuration.feature
@@ -1,94 +1,93 @@
-Feature: One configuration in force, never an older one
+Feature: The active configuration never goes back to an older generation
 
-  Scenario Outline: A write whose answer is lost is settled
-    # An operator applies; the service carries the write out and the answer is
-    # lost, or it is lost itself, or it arrives after the operator's daemon
-    # looked whether it did. Told the wrong thing, the operator applies twice or
-    # leaves a change out.
+  Scenario Outline: The outcome of a write is determined if its response is lost
+    # The write takes effect but its response is lost, or the write is lost, or it
+    # arrives after the operator's daemon checked for it. If the wrong outcome is
+    # reported, the operator applies a change twice or not at all.
     Given generation 1 is accepted
-    When the next write is <fate> and an operator applies another folder
-    Then the operator is told that generation 2 was accepted
-    And the service holds that folder as generation 2
+    When the next write is <fault> and an operator applies another folder
+    Then the operator's response says that generation 2 was accepted
+    And the key-value service holds that folder as generation 2
 
     Examples:
-      | fate                                        |
-      | carried out, not answered                   |
-      | neither carried out nor answered            |
+      | fault                                         |
+      | carried out, not answered                     |
+      | neither carried out nor answered              |
       | not answered, carried out after the next read |
 
-  Scenario Outline: Of two operators who race one is told of the other
-    # Both saw generation 1. The second's root arrives between the first's look
-    # and write, and the first's answer is lost. With contents compared, equal
-    # folders would let both believe that theirs was accepted.
+  Scenario Outline: Of two concurrent writes one reports a conflict
+    # Both are based on generation 1. The second root is written between the read and
+    # the write of the first, and the first response is lost. If contents were
+    # compared, both operators would see equal folders as accepted.
     Given generation 1 is accepted
-    When two operators apply <folders> at once and the loser's answers are lost
-    Then one is told that generation 2 was accepted and the other of a conflict
+    When two operators apply <folders> at the same time and the loser's responses are lost
+    Then one response says that generation 2 was accepted and the other reports a conflict
 
     Examples:
       | folders           |
       | different folders |
       | equal folders     |
 
-  Scenario: A damaged part is not put in force
-    # A restore of the service mixed up values. Taken unseen, an application
-    # would run on another adapter.
+  Scenario: A damaged part is not activated
+    # A restore of the key-value service mixed up values. Without verification an
+    # application would run on another adapter.
     Given generation 1 is accepted
-    When a part in the service holds other content
-    Then reading the configuration fails and names the part
+    When a part in the key-value service has the wrong content
+    Then reading the configuration fails with an error that names the part
 
-  Scenario: Old parts go once no kept generation names them
-    # Each change leaves the replaced part behind. Never collected, they fill
-    # the service; collected too soon, a slow reader finds a hole.
+  Scenario: Parts are deleted once no retained generation refers to them
+    # Each change leaves the replaced part behind. Parts that are never collected fill
+    # the key-value service; a part collected too soon is missing for a slow reader.
     Given generation 1 is accepted
-    When 200 further generations change one adapter each
-    Then every kept generation can still be read whole
-    And the service holds no part that no kept generation names
-
-  Scenario: An earlier generation read while another is accepted is not mixed
-    # An operator rolls back. Between the look at the records and the look at the
-    # root another operator's change is accepted; undone from that root by those
-    # records, the earlier contents would keep the newest change.
+    When 200 more generations change one adapter each
+    Then every retained generation can still be read completely
+    And every part in the key-value service belongs to a retained generation
+
+  Scenario: Reading an earlier generation during a write does not mix contents
+    # An operator rolls back. Another operator's change is accepted between the read of
+    # the records and the read of the root. If the records were undone from that root,
+    # the earlier contents would include the latest change.
     Given generation 1 is accepted
-    When 3 further generations change one adapter each
+    When 3 more generations change one adapter each
     And generation 2 is read while generation 5 is accepted
     Then the contents are those of generation 2
 
-  Scenario: A part that comes back into use is not collected
-    # A folder goes back to an old state just as its old parts fall due.
+  Scenario: A part that is in use again is not collected
+    # A folder returns to an old state when its old parts are due for collection.
     Given generation 1 is accepted
-    When 64 further generations change one adapter each
-    And the first folder is applied again 3 times in turn with another
-    Then every kept generation can still be read whole
-
-  Scenario Outline: A folder applied right after a daemon's start waits for its peers
-    # Daemons are started and a folder is applied at once. For its first two
-    # seconds a daemon does not know what its peers hold, and refused the folder.
-    Given a daemon that is unsure, and whose peers <answer>
+    When 64 more generations change one adapter each
+    And the first folder is applied again 3 times, alternating with another
+    Then every retained generation can still be read completely
+
+  Scenario Outline: A folder applied right after the start of a daemon waits for its peers
+    # For the first two seconds after its start a daemon does not know what its peers
+    # hold. It refused a folder that was applied in that time.
+    Given a daemon without contact whose peers <answer>
     When it waits for contact
     Then the folder is <taken>
 
     Examples:
-      | answer           | taken   |
-      | answer presently | taken   |
-      | never answer     | refused |
-
-  Scenario: A service that came back older is reported and outbid
-    # The service is restored from an old copy. Its root has a lower number; a
-    # write on top of it would reuse a number that daemons know otherwise.
-    Given generations 1 to 9 are accepted, and a daemon holds the newest
-    When the service comes back with generation 5
-    And the daemon reads the service
+      | answer       | taken   |
+      | answer soon  | taken   |
+      | never answer | refused |
+
+  Scenario: A key-value service restored to an older state is reported and superseded
+    # The key-value service is restored from an old backup, whose root has a lower
+    # generation. A write based on it would reuse a generation for other contents.
+    Given generations 1 to 9 are accepted and a daemon holds the latest
+    When the key-value service is restored with generation 5
+    And the daemon reads the key-value service
     Then the daemon still holds generation 9 and its contents
-    And the time line says that the service is older
+    And the timeline records that the key-value service is older
     When an operator applies a folder through the daemon
-    Then the operator is told that generation 10 was accepted
+    Then the operator's response says that generation 10 was accepted
 
-  Scenario Outline: A change reaches every daemon, by few reads of the service
+  Scenario Outline: A change reaches every daemon with few reads of the key-value service
     Given a pool of <daemons> daemons that agree
-    And generation 1 of <sections> adapters is in force
+    And generation 1 of <sections> adapters is active
     When one adapter changes
-    Then within <limit> s it is in force everywhere
-    And at most <reads> daemons read the service
+    Then within <limit> s it is active on every daemon
+    And at most <reads> daemons read the key-value service
 
     Examples:
       | daemons | sections | limit | reads |
@@ -96,66 +95,66 @@
       | 8       | 300      | 1     | 6     |
       | 70      | 300      | 1     | 6     |
 
-  Scenario: A daemon that starts while the service is down takes what its peers hold
-    # A host is replaced in an outage. Without a configuration it refuses every
-    # request; with an old one it would bring back what was withdrawn.
+  Scenario: A daemon that starts while the key-value service is down uses its peers
+    # A host is replaced during an outage. Without a configuration it refuses every
+    # request; with an old one it would restore what had been removed.
     Given a pool of 8 daemons that agree
-    And generation 1 of 300 adapters is in force
-    When the service is down and "host-3" is replaced
-    Then within 5 s it is in force everywhere
-    And "host-3" says that it has it from a peer and never reached the service
+    And generation 1 of 300 adapters is active
+    When the key-value service is down and "host-3" is replaced
+    Then within 5 s it is active on every daemon
+    And "host-3" reports that a peer sent it and that the key-value service was never reached
 
-  Scenario: Watchers that are gone are replaced
-    # Both daemons that watch for a data centre end. Nobody else would hear of a
+  Scenario: Failed watchers are replaced
+    # Both watchers of a data centre fail. Without new ones no daemon would notice a
     # change.
     Given a pool of 12 daemons that agree
-    And generation 1 of 50 adapters is in force
-    When all daemons that watch lose their power
+    And generation 1 of 50 adapters is active
+    When all watchers lose power
     And 8 s pass
     And one adapter changes
-    Then within 1 s it is in force everywhere
+    Then within 1 s it is active on every daemon
 
-  Scenario: A side cut from the service and the others catches up when it is healed
-    # Two data centres lose each other for a minute, and one of them the service.
+  Scenario: A partition without the key-value service catches up once it heals
+    # Two data centres are disconnected for a minute, one also from the key-value service.
     Given a pool of 9 daemons that agree
-    And generation 1 of 50 adapters is in force
-    When 3 daemons are cut from the others and from the service for 60 s, and 3 changes come
-    Then within 12 s it is in force everywhere
-    And no daemon ever held a lower generation after a higher one
+    And generation 1 of 50 adapters is active
+    When 3 daemons are cut off from the others and from the key-value service for 60 s, and 3 changes follow
+    Then within 12 s it is active on every daemon
+    And no daemon ever went back to a lower generation
 
-  Scenario: A daemon far behind takes parts, one just behind takes sections
+  Scenario: A daemon far behind fetches parts, one slightly behind fetches sections
     Given a pool of 8 daemons that agree
-    And generation 1 of 300 adapters is in force
-    When "host-3" is paused for 10 s and 40 changes come
-    Then within 8 s it is in force everywhere
+    And generation 1 of 300 adapters is active
+    When "host-3" is paused for 10 s and 40 changes follow
+    Then within 8 s it is active on every daemon
     When one adapter changes
-    Then within 1 s it is in force everywhere
-    And peers sent under 2000 bytes for it to each daemon
+    Then within 1 s it is active on every daemon
+    And peers send less than 2000 bytes per daemon for the next change
 
-  Scenario Outline: Taking a change over gives what building anew gives
-    When <kind> changes, is added or removed in a built configuration
-    Then all look-ups are as if it were built anew, and the older one is as it was
+  Scenario Outline: Applying a change gives the same result as rebuilding
+    When <kind> is added, changed or removed in a built configuration
+    Then all look-ups equal those of a rebuilt configuration and the older one is unchanged
 
     Examples:
-      | kind         |
-      | a team       |
-      | a key        |
-      | an adapter   |
-      | a version    |
-      | an endpoint  |
-      | the limit    |
-      | a route      |
-
-  Scenario: No sequence of faults brings an older or a mixed configuration
-    # Operators, outages, lost and late writes, restores, restarts, partitions
-    # and slow readers in any order, found by hypothesis.
-    When sixty histories of the configuration are tried
-    Then no daemon ever held a lower generation, or contents not accepted under it
-
-  Scenario: A delta that comes after a newer generation is not taken on it
-    Users of one adapter would get the model of a generation that was undone. A
-    daemon asks a peer for the changes since 1, then reads 2 from the service;
-    the peer's changes lead from 1 to 3, which undoes 2, and come last. They were
-    taken on 2: the comparison of the base was left out.
-    When a delta comes to a daemon that went on meanwhile
+      | kind        |
+      | a team      |
+      | a key       |
+      | an adapter  |
+      | a version   |
+      | an endpoint |
+      | the limit   |
+      | a route     |
+
+  Scenario: No sequence of faults leads to an older or mixed configuration
+    # Hypothesis generates operators' changes, outages, lost and late writes, restores,
+    # restarts, partitions and slow readers in any order.
+    When 60 generated histories of the configuration are run
+    Then no daemon ever held a lower generation or contents not accepted for its generation
+
+  Scenario: A delta is not applied to a newer generation than its base
+    A daemon requests the changes since generation 1 from a peer, then reads generation
+    2 from the key-value service. The peer's changes arrive last. They lead from 1 to 3,
+    which undoes 2. Without the comparison of the base they would be applied to 2, so
+    that callers of one adapter get the model of an undone generation.
+    When a delta reaches a daemon that has since activated a newer generation
     Then no daemon holds mixed contents
--- a/features/members/sockets.feature
+++ b/features/members/sockets.feature
@@ -1,30 +1,30 @@
 Feature: Connections between daemons
 
-  Scenario Outline: What a reader is told: <story>
-    A reset that passes for an end would be taken for an orderly close, and bytes that
-    came before it must not be lost.
+  Scenario Outline: A reader sees how the connection ended: <case>
+    A reset that is reported as the end of the stream would look like an orderly close.
+    Bytes received before the end must not be lost.
 
     Given a connection between two daemons
-    When the far end <does>
-    Then the near end reads "<bytes>", and then <ends>
+    When the sending end <does>
+    Then the receiving end reads "<bytes>", and then <ends>
 
     Examples:
-      | story             | does                     | bytes  | ends                   |
-      | an orderly end    | sends "abcd" and closes  | abcd   | EndOfStream            |
-      | a half-close      | sends "abcd" and an end  | abcd   | EndOfStream            |
-      | a reset           | sends "abcd" and resets  | abcd   | BrokenResourceError    |
-      | closed while read | has its reader closed    |        | ClosedResourceError    |
+      | case                 | does                         | bytes | ends                |
+      | an orderly close     | sends "abcd" and closes      | abcd  | EndOfStream         |
+      | a half-close         | sends "abcd" and an end      | abcd  | EndOfStream         |
+      | a reset              | sends "abcd" and resets      | abcd  | BrokenResourceError |
+      | closed while reading | sees the receiving end close |       | ClosedResourceError |
 
-  Scenario: A peer that is not read is held back
-    A daemon that is slow to take messages would hold all that its peers send in memory.
+  Scenario: A slow reader applies backpressure
+    Without it a slow daemon would buffer everything that its peers send.
 
     Given a connection between two daemons
-    When the far end sends 64 MB that nobody reads
-    Then the near end holds less than 1 MB, and the far end waits
-    And all of it comes when it is read
+    When the sending end sends 64 MB that are not read
+    Then the receiving end buffers less than 1 MB and the sending end is blocked
+    And all data arrives once it is read
 
-  Scenario: A connection that comes before it is served is served
-    A peer connects at the moment at which a daemon begins to listen.
+  Scenario: A connection accepted before serving starts is served
+    A peer connects at the moment a daemon starts to listen.
 
     Given a connection between two daemons
-    Then the near end was made before it was served
+    Then the connection was accepted before serving started and is served
--- a/features/members/steps/configuration_steps.py
+++ b/features/members/steps/configuration_steps.py
@@ -62,19 +62,19 @@
     assert apply(context.store, 0, folder()) == Accepted(1)
 
 
-@when("the next write is {fate} and an operator applies another folder")
-def apply_with_fate(context, fate):
-    context.store.next_writes = [WriteFault(fate)]
+@when("the next write is {fault} and an operator applies another folder")
+def apply_with_fate(context, fault):
+    context.store.next_writes = [WriteFault(fault)]
     context.wanted = folder("other")
     context.ended = apply(context.store, 1, context.wanted)
 
 
-@then("the operator is told that generation {number:d} was accepted")
+@then("the operator's response says that generation {number:d} was accepted")
 def told_accepted(context, number):
     assert context.ended == Accepted(number), context.ended
 
 
-@then("the service holds that folder as generation {number:d}")
+@then("the key-value service holds that folder as generation {number:d}")
 def holds_folder(context, number):
     stored, sections = held_by(context.store)
     run(read_root(context.store))
@@ -83,7 +83,10 @@
     assert len(run(read_records(context.store))) == number
 
 
-@when("two operators apply {kind} folders at once and the loser's answers are lost")
+@when(
+    "two operators apply {kind} folders at the same time "
+    "and the loser's responses are lost"
+)
 def two_race(context, kind):
     first = folder("first")
     second = folder("first" if kind == "equal" else "second")
@@ -94,29 +97,31 @@
     context.ended = ended
 
 
-@then("one is told that generation 2 was accepted and the other of a conflict")
+@then(
+    "one response says that generation 2 was accepted and the other reports a conflict"
+)
 def one_each(context):
     assert context.ended == [Accepted(2), Conflict(2)], context.ended
 
 
-@when("a part in the service holds other content")
+@when("a part in the key-value service has the wrong content")
 def damage(context):
     key = next(key for key in context.store.values if key.startswith(PART_KEY))
     context.damaged = key.removeprefix(PART_KEY)
     context.store.values[key] = (b"\x81\xa1a\x80", 1)
 
 
-@then("reading the configuration fails and names the part")
+@then("reading the configuration fails with an error that names the part")
 def reading_fails(context):
     try:
         held_by(context.store)
     except StoreError as error:
         assert context.damaged[:12] in str(error), error
     else:
-        raise AssertionError("read without complaint")
+        raise AssertionError("no error was raised")
 
 
-@when("{number:d} further generations change one adapter each")
+@when("{number:d} more generations change one adapter each")
 def many_generations(context, number):
     context.applied = {1: folder()}
     for _ in range(number):
@@ -140,7 +145,7 @@
     assert context.read == context.applied[number], context.read
 
 
-@when("the first folder is applied again {times:d} times in turn with another")
+@when("the first folder is applied again {times:d} times, alternating with another")
 def back_and_forth(context, times):
     for wanted in [folder(), folder("another")] * times:
         generation = run(read_root(context.store)).generation
@@ -148,7 +153,7 @@
         assert apply(context.store, generation, wanted) == Accepted(generation + 1)
 
 
-@then("every kept generation can still be read whole")
+@then("every retained generation can still be read completely")
 def kept_readable(context):
     kept = [record.generation for record in run(read_records(context.store))]
     assert len(kept) == 64, len(kept)
@@ -157,7 +162,7 @@
         assert sections == context.applied[generation], generation
 
 
-@then("the service holds no part that no kept generation names")
+@then("every part in the key-value service belongs to a retained generation")
 def no_orphans(context):
     kept = {record.generation for record in run(read_records(context.store))}
     named = {
@@ -176,7 +181,7 @@
 
 
 class Reader:
-    """A core that reads the service as a daemon does."""
+    """A core that reads the key-value service as a daemon does."""
 
     def __init__(self, host="host-0"):
         self.bridge = Bridge(host, "dc1")
@@ -196,7 +201,7 @@
             self.tell(events.PartsRead(stored.root, parts))
 
 
-@given("generations 1 to 9 are accepted, and a daemon holds the newest")
+@given("generations 1 to 9 are accepted and a daemon holds the latest")
 def nine_accepted(context):
     first_accepted(context)
     for generation in range(1, 9):
@@ -208,12 +213,12 @@
     assert context.reader.bridge.configuration.generation == 9
 
 
-@when("the service comes back with generation 5")
+@when("the key-value service is restored with generation 5")
 def comes_back(context):
     context.store.restore(context.snapshot)
 
 
-@when("the daemon reads the service")
+@when("the daemon reads the key-value service")
 def daemon_reads(context):
     context.reader.read(context.store)
 
@@ -225,7 +230,7 @@
     assert held.sections == folder("model-8")
 
 
-@then("the time line says that the service is older")
+@then("the timeline records that the key-value service is older")
 def says_older(context):
     kinds = [record.kind for record in context.reader.records]
     assert "configuration.service_is_older" in kinds
@@ -239,7 +244,7 @@
     context.ended = apply(context.store, generation, folder("new"), highest)
 
 
-@given("generation 1 of {adapters:d} adapters is in force")
+@given("generation 1 of {adapters:d} adapters is active")
 def in_force(context, adapters):
     pool = context.pool
     assert pool.apply(folder("m", adapters)) == 1
@@ -257,7 +262,7 @@
     pool.apply_changes(changed)
 
 
-@then("within {limit:g} s it is in force everywhere")
+@then("within {limit:g} s it is active on every daemon")
 def reaches_all(context, limit):
     pool = context.pool
     newest = pool.service.root.generation
@@ -268,12 +273,12 @@
         assert held.parts.digests == pool.service.root.digests
 
 
-@then("at most {reads:d} daemons read the service")
+@then("at most {reads:d} daemons read the key-value service")
 def few_reads(context, reads):
     assert 1 <= context.pool.service.root_reads <= reads
 
 
-@when('the service is down and "{host}" is replaced')
+@when('the key-value service is down and "{host}" is replaced')
 def replaced_in_outage(context, host):
     context.pool.service.down = True
     context.pool.kill(host)
@@ -281,7 +286,10 @@
     context.pool.start(host)
 
 
-@then('"{host}" says that it has it from a peer and never reached the service')
+@then(
+    '"{host}" reports that a peer sent it '
+    "and that the key-value service was never reached"
+)
 def says_from_peer(context, host):
     node = context.pool.nodes[host]
     assert node.recorded("configuration.service_not_reached")
@@ -290,7 +298,7 @@
     assert status["service_reached"] is False
 
 
-@when("all daemons that watch lose their power")
+@when("all watchers lose power")
 def watchers_lost(context):
     for host in context.pool.live():
         if context.pool.nodes[host].bridge.distribution.should_watch():
@@ -298,8 +306,8 @@
 
 
 @when(
-    "{side:d} daemons are cut from the others and from the service "
-    "for {seconds:g} s, and {changes:d} changes come"
+    "{side:d} daemons are cut off from the others and from the key-value service "
+    "for {seconds:g} s, and {changes:d} changes follow"
 )
 def side_cut(context, side, seconds, changes):
     pool = context.pool
@@ -312,7 +320,7 @@
     pool.heal()
 
 
-@then("no daemon ever held a lower generation after a higher one")
+@then("no daemon ever went back to a lower generation")
 def never_lower(context):
     for node in context.pool.nodes.values():
         taken = [
@@ -322,7 +330,7 @@
         assert taken == sorted(set(taken)), taken
 
 
-@when('"{host}" is paused for {seconds:g} s and {changes:d} changes come')
+@when('"{host}" is paused for {seconds:g} s and {changes:d} changes follow')
 def paused_behind(context, host, seconds, changes):
     context.pool.pause(host, seconds)
     for _ in range(changes):
@@ -330,19 +338,19 @@
         context.pool.run(seconds / changes)
 
 
-@then("peers sent under {limit:d} bytes for it to each daemon")
+@then("peers send less than {limit:d} bytes per daemon for the next change")
 def few_bytes(context, limit):
     pool = context.pool
     pool.run(3)
     pool.reset_traffic()
     one_changes(context)
     pool.run(1)
-    kinds = ("ConfigurationAsk", "ConfigurationChanged", "ConfigurationRoot")
+    kinds = ("ConfigurationRequest", "ConfigurationDelta", "ConfigurationRoot")
     total = sum(
         node.traffic.kinds[kind] for node in pool.nodes.values() for kind in kinds
     )
     assert 0 < total < limit * len(pool.nodes), total
-    assert not any(node.traffic.kinds["PartTold"] for node in pool.nodes.values())
+    assert not any(node.traffic.kinds["PartResponse"] for node in pool.nodes.values())
 
 
 KINDS = {
@@ -372,7 +380,7 @@
 }
 
 
-@when("{kind} changes, is added or removed in a built configuration")
+@when("{kind} is added, changed or removed in a built configuration")
 def changed_built(context, kind):
     title, first, second = KINDS[kind]
     context.pairs = []
@@ -381,23 +389,25 @@
         if before is not None:
             sections[title] = before
         older = build(1, sections)[0]
-        as_it_was = build(1, sections)[0]
+        unchanged = build(1, sections)[0]
         parts = older.parts.changed({title: after})
         newer = change(older, 2, "t", parts, {title: after})
-        anew, faults = build_parts(2, "t", parts)
+        rebuilt, faults = build_parts(2, "t", parts)
         assert not faults, faults
-        context.pairs.append((newer, anew, older, as_it_was))
+        context.pairs.append((newer, rebuilt, older, unchanged))
 
 
-@then("all look-ups are as if it were built anew, and the older one is as it was")
+@then(
+    "all look-ups equal those of a rebuilt configuration and the older one is unchanged"
+)
 def same_look_ups(context):
-    for newer, anew, older, as_it_was in context.pairs:
-        assert newer == anew
-        assert older == as_it_was
+    for newer, rebuilt, older, unchanged in context.pairs:
+        assert newer == rebuilt
+        assert older == unchanged
         assert AdapterVersion("a1", "1") in newer.versions
 
 
-@when("sixty histories of the configuration are tried")
+@when("60 generated histories of the configuration are run")
 def histories(context):
     bounds = settings(
         derandomize=True,
@@ -410,16 +420,18 @@
     run_state_machine_as_test(ConfigurationHistory, settings=bounds)
 
 
-@then("no daemon ever held a lower generation, or contents not accepted under it")
+@then(
+    "no daemon ever held a lower generation or contents not accepted for its generation"
+)
 def checked_in_each(context):
-    """The histories check it at each step, and would have failed."""
+    """`ConfigurationHistory` checks this after each step."""
 
 
-@given("a daemon that is unsure, and whose peers {answer}")
+@given("a daemon without contact whose peers {answer}")
 def unsure_daemon(context, answer):
     context.members = Members("host-0", "dc1")
     context.members.is_stale = True
-    context.answers = answer == "answer presently"
+    context.answers = answer == "answer soon"
     context.add_cleanup(setattr, proposals, "CONTACT_S", proposals.CONTACT_S)
     proposals.CONTACT_S = 4.0 if context.answers else 0.2
 
@@ -448,12 +460,12 @@
     assert context.taken == taken
 
 
-@when("a delta comes to a daemon that went on meanwhile")
+@when("a delta reaches a daemon that has since activated a newer generation")
 def delta_overtaken(context):
     context.outcome = run_overtaken()
 
 
 @then("no daemon holds mixed contents")
 def none_mixed(context):
-    assert context.outcome.reached, "the delta was not overtaken"
+    assert context.outcome.reached, "no newer generation was activated before the delta"
     assert not context.outcome.broken, context.outcome.broken
--- a/features/members/steps/membership_steps.py
+++ b/features/members/steps/membership_steps.py
@@ -5,7 +5,7 @@
 from knapweedbridge_standins.pool import Pool
 
 
-def settled(daemons, seed=1):
+def converged_pool(daemons, seed=1):
     pool = Pool(daemons, seed)
     assert pool.run_until(pool.agree, 30) is not None
     pool.run(3)
@@ -18,23 +18,23 @@
 
 @given("a pool of {daemons:d} daemons that agree")
 def agreeing(context, daemons):
-    context.pool = settled(daemons)
+    context.pool = converged_pool(daemons)
     context.lost = set()
 
 
-@when('nothing passes from "{host}" to its neighbour that way')
+@when('no message passes from "{host}" to its neighbour in that direction')
 def cut_that_way(context, host):
     neighbour = members_of(context.pool, host).neighbours()[0]
     context.pool.cut(host, neighbour)
 
 
-@when('nothing passes from "{host}" to its neighbour the other way')
+@when('no message passes from "{host}" to its neighbour in the opposite direction')
 def cut_other_way(context, host):
     neighbour = members_of(context.pool, host).neighbours()[0]
     context.pool.cut(neighbour, host)
 
 
-@when('nothing passes from "{host}" to its neighbour in either way')
+@when('no message passes from "{host}" to its neighbour in both directions')
 def cut_either_way(context, host):
     cut_that_way(context, host)
     cut_other_way(context, host)
@@ -45,8 +45,8 @@
     context.pool.run(seconds)
 
 
-@then("every daemon sees every other as living")
-def all_living(context):
+@then("every daemon considers every other alive")
+def all_alive(context):
     assert context.pool.agree()
 
 
@@ -62,35 +62,35 @@
     context.pool.kill(host)
 
 
-@when('"{host}" loses its power')
+@when('"{host}" loses power')
 def power_lost(context, host):
     context.pool.kill(host, refuses=False)
 
 
-@then('within {limit:g} s every daemon sees just "{host}" as dead')
+@then('within {limit:g} s every daemon considers only "{host}" dead')
 def dead_within(context, limit, host):
     took = context.pool.run_until(lambda: context.pool.agree({host}), limit)
     assert took is not None
 
 
-@when('"{host}" is started anew')
+@when('"{host}" is restarted')
 def started(context, host):
     context.pool.start(host)
 
 
-@then("within {limit:g} s every daemon sees every other as living")
-def living_within(context, limit):
+@then("within {limit:g} s every daemon considers every other alive")
+def alive_within(context, limit):
     assert context.pool.run_until(context.pool.agree, limit) is not None
 
 
-@when("{lost:d} hosts lose their power at once")
-def rack_lost(context, lost):
+@when("{lost:d} hosts lose power at the same time")
+def rack_fails(context, lost):
     context.lost = {f"host-{place}" for place in range(lost)}
     for host in context.lost:
         context.pool.kill(host, refuses=False)
 
 
-@then("within {limit:g} s every daemon sees just the lost as dead")
+@then("within {limit:g} s every daemon considers only the lost hosts dead")
 def rack_dead(context, limit):
     pool = context.pool
     assert pool.run_until(lambda: pool.agree(context.lost), limit) is not None
@@ -108,7 +108,7 @@
     context.pool.pause(host, seconds)
 
 
-@then('every daemon but "{host}" sees it as dead')
+@then('every daemon but "{host}" considers it dead')
 def seen_dead(context, host):
     for other in context.pool.live():
         if other != host:
@@ -116,21 +116,21 @@
             assert host not in peers, other
 
 
-@then('"{host}" recorded the pause and did not name itself while unsure')
+@then('"{host}" recorded the pause and did not list itself while its state was stale')
 def noticed_pause(context, host):
     node = context.pool.nodes[host]
     assert node.recorded("daemon.paused")
     assert node.bridge.members.is_stale is (host not in node.bridge.members.available())
 
 
-@then('nobody but "{host}" was ever recorded as dead')
-def nobody_else_dead(context, host):
+@then('no daemon but "{host}" was ever recorded as dead')
+def no_other_dead(context, host):
     for node in context.pool.nodes.values():
         dead = {record.fields["member"] for record in node.recorded("member.dead")}
         assert dead <= {host}, dead
 
 
-@when("each daemon is killed and started anew, {seconds:g} s apart")
+@when("each daemon is killed and restarted, {seconds:g} s apart")
 def rolling_restart(context, seconds):
     for host in list(context.pool.nodes):
         context.pool.kill(host)
@@ -139,7 +139,7 @@
         context.pool.run(seconds)
 
 
-@then("every daemon knows the newest start of every other")
+@then("every daemon knows the latest incarnation of every other")
 def newest_starts(context):
     for host in context.pool.live():
         for peer in members_of(context.pool, host).peers():
@@ -147,7 +147,7 @@
             assert peer.incarnation == number, (host, peer)
 
 
-@when("{side:d} daemons are cut from the others for {seconds:g} s")
+@when("{side:d} daemons are cut off from the others for {seconds:g} s")
 def partitioned(context, side, seconds):
     context.pool.partition({f"host-{place}" for place in range(side)})
     context.pool.run(seconds)
@@ -155,20 +155,20 @@
     context.pool.heal()
 
 
-@when('"{host}" is cut from all others')
+@when('"{host}" is cut off from all others')
 def isolated(context, host):
     context.pool.partition({host})
 
 
-@then('"{host}" knows that it is isolated, and is not among those it names')
+@then('"{host}" knows that it is isolated and does not list itself as available')
 def knows_isolated(context, host):
     node = context.pool.nodes[host]
     assert node.recorded("daemon.isolated")
     assert host not in node.bridge.members.available()
 
 
-@then('"{host}" recorded nobody as dead')
-def recorded_nobody(context, host):
+@then('"{host}" recorded no daemon as dead')
+def recorded_none_dead(context, host):
     assert not context.pool.nodes[host].recorded("member.dead")
 
 
@@ -184,7 +184,7 @@
         context.pools.append(pool)
 
 
-@then("the most that a daemon sends is under {limit:d} bytes a second in each")
+@then("every daemon sends less than {limit:d} bytes per second in each pool")
 def sends_under(context, limit):
     for pool in context.pools:
         most = max(node.traffic.sent_bytes / 4 for node in pool.nodes.values())
@@ -198,7 +198,7 @@
             assert 2 <= len(node.bridge.members.neighbours()) <= limit
 
 
-@given('a member list that stands in "{data_centre}" of a pool "{pool}"')
+@given('a member list in "{data_centre}" of a pool "{pool}"')
 def member_list(context, data_centre, pool):
     context.members = Members("host-0", data_centre, pool == "deployment")
 
@@ -213,6 +213,6 @@
     )
 
 
-@then("it knows {known:d} others")
+@then("it lists {known:d} other members")
 def knows(context, known):
     assert len(context.members.known()) == known
--- a/features/members/steps/socket_steps.py
+++ b/features/members/steps/socket_steps.py
@@ -8,24 +8,24 @@
 
 LIMIT_S = 10.0
 NO_LINGER = struct.pack("ii", 1, 0)
-LOT_BYTES = 64_000_000
+TOTAL_BYTES = 64_000_000
 
 
-class Ends:
-    """Both ends of one connection; the story runs at its last step."""
+class Connection:
+    """Sender and receiver of a connection; the last step runs the scenario."""
 
     def __init__(self):
-        self.story = []
+        self.steps = []
 
     async def _run(self):
         listener = PeerListener()
         await listener.listen("127.0.0.1", 0)
         ip, _, port = listener.address.rpartition(":")
-        self.far = await connect_peer(ip, int(port))
+        self.sender = await connect_peer(ip, int(port))
         made = anyio.Event()
 
-        async def serve(near):
-            self.near = near
+        async def serve(receiver):
+            self.receiver = receiver
             made.set()
 
         with anyio.fail_after(LIMIT_S):
@@ -34,121 +34,121 @@
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(listener.serve, serve)
                 await made.wait()
-                for step in self.story:
+                for step in self.steps:
                     await step(self, tasks)
                 tasks.cancel_scope.cancel()
 
     def run(self):
-        # Serving daemons run in uvloop, the others in either.
+        # Daemons that serve run in uvloop, others in uvloop or asyncio.
         for use_uvloop in (True, False):
             anyio.run(self._run, backend_options={"use_uvloop": use_uvloop})
 
 
-async def close(ends, tasks):
-    await ends.far.aclose()
+async def close(connection, tasks):
+    await connection.sender.aclose()
 
 
-async def half_close(ends, tasks):
-    await ends.far.send_eof()
+async def half_close(connection, tasks):
+    await connection.sender.send_eof()
 
 
-async def reset(ends, tasks):
-    raw = ends.far._transport.get_extra_info("socket")
+async def reset(connection, tasks):
+    raw = connection.sender._transport.get_extra_info("socket")
     raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, NO_LINGER)
     await anyio.sleep(0.05)
-    await ends.far.aclose()
+    await connection.sender.aclose()
 
 
-async def close_reader(ends, tasks):
-    async def soon():
+async def close_reader(connection, tasks):
+    async def close_later():
         await anyio.sleep(0.05)
-        await ends.near.aclose()
+        await connection.receiver.aclose()
 
-    tasks.start_soon(soon)
+    tasks.start_soon(close_later)
 
 
 ENDINGS = {"closes": close, "an end": half_close, "resets": reset}
 
 
 @given("a connection between two daemons")
-def connection(context):
-    context.ends = Ends()
+def given_connection(context):
+    context.connection = Connection()
 
 
-@when('the far end sends "{text}" and {ending}')
+@when('the sending end sends "{text}" and {ending}')
 def sends_and_ends(context, text, ending):
-    async def step(ends, tasks):
-        await ends.far.send(text.encode())
-        # It is on its way before the end is, which may overtake what is queued.
+    async def step(connection, tasks):
+        await connection.sender.send(text.encode())
+        # Wait until the data is sent, since a reset may overtake queued data.
         await anyio.sleep(0.05)
-        await ENDINGS[ending](ends, tasks)
+        await ENDINGS[ending](connection, tasks)
 
-    context.ends.story.append(step)
+    context.connection.steps.append(step)
 
 
-@when("the far end has its reader closed")
+@when("the sending end sees the receiving end close")
 def reader_closed(context):
-    context.ends.story.append(close_reader)
+    context.connection.steps.append(close_reader)
 
 
-@then('the near end reads "{text}", and then {error}')
-@then('the near end reads "", and then {error}')
+@then('the receiving end reads "{text}", and then {error}')
+@then('the receiving end reads "", and then {error}')
 def near_reads(context, error, text=""):
-    async def step(ends, tasks):
-        found = b""
+    async def step(connection, tasks):
+        received = b""
         try:
             while True:
-                found += await ends.near.receive(3)
+                received += await connection.receiver.receive(3)
         except Exception as raised:
             assert type(raised).__name__ == error, raised
-        assert found == text.encode(), found
+        assert received == text.encode(), received
 
-    context.ends.story.append(step)
-    context.ends.run()
+    context.connection.steps.append(step)
+    context.connection.run()
 
 
-@when("the far end sends 64 MB that nobody reads")
-def sends_a_lot(context):
-    async def step(ends, tasks):
-        ends.sent = False
+@when("the sending end sends 64 MB that are not read")
+def sends_unread(context):
+    async def step(connection, tasks):
+        connection.sent = False
 
         async def send():
-            for _ in range(LOT_BYTES // 64_000):
-                await ends.far.send(bytes(64_000))
-            ends.sent = True
+            for _ in range(TOTAL_BYTES // 64_000):
+                await connection.sender.send(bytes(64_000))
+            connection.sent = True
 
         tasks.start_soon(send)
         await anyio.sleep(0.3)
 
-    context.ends.story.append(step)
+    context.connection.steps.append(step)
 
 
-@then("the near end holds less than 1 MB, and the far end waits")
-def holds_little(context):
-    async def step(ends, tasks):
-        assert sum(map(len, ends.near._chunks)) < 1_000_000
-        assert not ends.sent
-        assert not ends.far.takes_more
+@then("the receiving end buffers less than 1 MB and the sending end is blocked")
+def buffers_little(context):
+    async def step(connection, tasks):
+        assert sum(map(len, connection.receiver._chunks)) < 1_000_000
+        assert not connection.sent
+        assert not connection.sender.takes_more
 
-    context.ends.story.append(step)
+    context.connection.steps.append(step)
 
 
-@then("all of it comes when it is read")
-def all_comes(context):
-    async def step(ends, tasks):
-        left = LOT_BYTES
-        while left:
-            left -= len(await ends.near.receive())
+@then("all data arrives once it is read")
+def all_arrives(context):
+    async def step(connection, tasks):
+        remaining_bytes = TOTAL_BYTES
+        while remaining_bytes:
+            remaining_bytes -= len(await connection.receiver.receive())
 
-    context.ends.story.append(step)
-    context.ends.run()
+    context.connection.steps.append(step)
+    context.connection.run()
 
 
-@then("the near end was made before it was served")
-def made_before(context):
-    async def step(ends, tasks):
-        await ends.far.send(b"x")
-        assert await ends.near.receive() == b"x"
+@then("the connection was accepted before serving started and is served")
+def accepted_before(context):
+    async def step(connection, tasks):
+        await connection.sender.send(b"x")
+        assert await connection.receiver.receive() == b"x"
 
-    context.ends.story.append(step)
-    context.ends.run()
+    context.connection.steps.append(step)
+    context.connection.run()
--- a/features/members/steps/stream_steps.py
+++ b/features/members/steps/stream_steps.py
@@ -21,27 +21,27 @@
 BAD_BYTES = {
     "an unknown tag": msgpack.packb(["Nothing", 1]),
     "a tag with too many fields": msgpack.packb(["ProbeAsk", 1, 2, 3]),
-    "a tag that is no name": msgpack.packb([None, 1, 2]),
+    "a tag that is not a string": msgpack.packb([None, 1, 2]),
     "a tag with too few fields": msgpack.packb(["LimitHeard", "e"]),
-    "bytes that are no msgpack": b"\xc1" * 20,
+    "bytes that are not msgpack": b"\xc1" * 20,
     "a message over the size limit": b"\xc6\x7f\xff\xff\xff"
     + b"x" * (MAX_MESSAGE_BYTES + 70_000),
 }
 
 
-class Side:
-    """One daemon's streams, with what it told its core."""
+class Daemon:
+    """The streams of a daemon, with the events passed to its core."""
 
     def __init__(self, host, secret=SECRET, incarnation=1):
         self.host = host
-        self.heard = []
+        self.received = []
         self.linked = []
         self.unlinked = []
         self.peers = Peers(host, secret, SILENCE_S, self._submit, incarnation)
 
     async def _submit(self, event):
         kinds = {
-            PeerMessage: self.heard,
+            PeerMessage: self.received,
             PeerConnected: self.linked,
             PeerDisconnected: self.unlinked,
         }
@@ -55,7 +55,7 @@
 
 
 class Forwarder:
-    """Passes connections on, until it loses track of those open."""
+    """Forwards connections until it drops those that are open."""
 
     def __init__(self, target):
         self.target = target
@@ -64,19 +64,19 @@
 
     async def listen(self, tasks):
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
-        tasks.start_soon(listener.serve, self._pass)
+        tasks.start_soon(listener.serve, self._forward)
         self.address = address_of(listener)
 
-    async def _pass(self, stream):
+    async def _forward(self, stream):
         number = self.connections = self.connections + 1
         ip, _, port = self.target.rpartition(":")
         async with (
             stream,
-            await anyio.connect_tcp(ip, int(port)) as onward,
+            await anyio.connect_tcp(ip, int(port)) as upstream,
             anyio.create_task_group() as tasks,
         ):
-            tasks.start_soon(self._copy, stream, onward, number)
-            tasks.start_soon(self._copy, onward, stream, number)
+            tasks.start_soon(self._copy, stream, upstream, number)
+            tasks.start_soon(self._copy, upstream, stream, number)
 
     async def _copy(self, source, target, number):
         with contextlib.suppress(
@@ -95,20 +95,20 @@
     return f"{ip}:{port}"
 
 
-async def until(holds):
+async def until(condition):
     with anyio.fail_after(LIMIT_S):
-        while not holds():
+        while not condition():
             await anyio.sleep(0.01)
 
 
-class Scene:
-    """Runs one scenario's story in one event loop, at its end."""
+class Network:
+    """Runs the steps of a scenario in one event loop, in its last step."""
 
     def __init__(self, hosts):
         self.hosts = hosts
-        self.strangers = []
-        self.story = []
-        self.sides = {}
+        self.intruders = []
+        self.steps = []
+        self.daemons_by_host = {}
 
     def run(self):
         anyio.run(self._run)
@@ -118,27 +118,27 @@
             tasks = await stack.enter_async_context(anyio.create_task_group())
             self.tasks = tasks
             for host in self.hosts:
-                self.sides[host] = Side(host)
-            for host in self.strangers:
-                self.sides[host] = Side(host, b"another secret")
-            for side in self.sides.values():
-                await side.listen(tasks)
-            for step in self.story:
+                self.daemons_by_host[host] = Daemon(host)
+            for host in self.intruders:
+                self.daemons_by_host[host] = Daemon(host, b"another secret")
+            for daemon in self.daemons_by_host.values():
+                await daemon.listen(tasks)
+            for step in self.steps:
                 await step(self)
             tasks.cancel_scope.cancel()
 
     def send(self, sender, receiver, address, message=None):
-        side = self.sides[sender]
-        side.peers.know(self.tasks, {receiver: address})
-        side.peers.send(receiver, message or ProbeRequest())
+        daemon = self.daemons_by_host[sender]
+        daemon.peers.know(self.tasks, {receiver: address})
+        daemon.peers.send(receiver, message or ProbeRequest())
 
 
 @given('daemons "{hosts}"')
 def daemons(context, hosts):
-    context.scene = Scene(hosts.split(","))
+    context.network = Network(hosts.split(","))
 
 
-@given('daemons "{hosts}" whose streams are idle after {seconds:g} s')
+@given('daemons "{hosts}" whose idle streams close after {seconds:g} s')
 def idle_daemons(context, hosts, seconds):
     daemons(context, hosts)
     context.add_cleanup(setattr, peers_module, "IDLE_S", peers_module.IDLE_S)
@@ -146,180 +146,184 @@
 
 
 @given('a daemon "{host}" with another secret')
-def stranger(context, host):
-    context.scene.strangers.append(host)
+def intruder(context, host):
+    context.network.intruders.append(host)
 
 
 def dial(context, dialling, dialled, leads_to):
-    async def step(scene):
+    async def step(network):
         for _ in range(3):
-            scene.send(dialling, dialled, scene.sides[leads_to].address)
+            network.send(dialling, dialled, network.daemons_by_host[leads_to].address)
             await anyio.sleep(0.1)
-        await until(lambda: scene.sides[dialling].unlinked)
+        await until(lambda: network.daemons_by_host[dialling].unlinked)
 
-    context.scene.story.append(step)
+    context.network.steps.append(step)
 
 
-@when('"{dialling}" dials "{dialled}" at an address that leads back to "{leads_to}"')
+@when(
+    '"{dialling}" connects to "{dialled}" at an address that leads back to "{leads_to}"'
+)
 def dial_self(context, dialling, dialled, leads_to):
     dial(context, dialling, dialled, leads_to)
 
 
-@when('"{dialling}" dials "{dialled}" at the address of "{leads_to}"')
+@when('"{dialling}" connects to "{dialled}" at the address of "{leads_to}"')
 def dial_other(context, dialling, dialled, leads_to):
     dial(context, dialling, dialled, leads_to)
 
 
-@then('no stream to "{host}" ever stands')
-def none_stands(context, host):
-    context.scene.run()
-    assert not context.scene.sides["host-0"].linked
+@then('no stream to "{host}" is ever established')
+def never_established(context, host):
+    context.network.run()
+    assert not context.network.daemons_by_host["host-0"].linked
 
 
 @when('"{sender}" sends to "{receiver}" through a forwarder')
 def through_forwarder(context, sender, receiver):
-    async def step(scene):
-        scene.forwarder = Forwarder(scene.sides[receiver].address)
-        await scene.forwarder.listen(scene.tasks)
-        scene.send(sender, receiver, scene.forwarder.address)
-        await until(lambda: scene.sides[receiver].heard)
+    async def step(network):
+        network.forwarder = Forwarder(network.daemons_by_host[receiver].address)
+        await network.forwarder.listen(network.tasks)
+        network.send(sender, receiver, network.forwarder.address)
+        await until(lambda: network.daemons_by_host[receiver].received)
 
-    context.scene.story.append(step)
+    context.network.steps.append(step)
 
 
-@when("the forwarder loses track of the open connections")
-def loses_track(context):
-    async def step(scene):
-        scene.forwarder.lost = True
+@when("the forwarder silently drops its open connections")
+def drops_connections(context):
+    async def step(network):
+        network.forwarder.lost = True
 
-    context.scene.story.append(step)
+    context.network.steps.append(step)
 
 
-@then('"{receiver}" hears "{sender}" again by a new stream')
-def hears_again(context, receiver, sender):
-    async def step(scene):
-        before = len(scene.sides[receiver].heard)
+@then('"{receiver}" receives messages from "{sender}" again on a new stream')
+def receives_again(context, receiver, sender):
+    async def step(network):
+        before = len(network.daemons_by_host[receiver].received)
         with anyio.fail_after(LIMIT_S):
-            while len(scene.sides[receiver].heard) == before:
-                scene.send(sender, receiver, scene.forwarder.address)
+            while len(network.daemons_by_host[receiver].received) == before:
+                network.send(sender, receiver, network.forwarder.address)
                 await anyio.sleep(0.05)
-        assert scene.forwarder.connections > 1
+        assert network.forwarder.connections > 1
 
-    context.scene.story.append(step)
+    context.network.steps.append(step)
 
 
-@then('"{sender}" never took "{receiver}" for unreachable')
+@then('"{sender}" never considered "{receiver}" unreachable')
 def never_unreachable(context, sender, receiver):
-    context.scene.run()
-    assert not context.scene.sides[sender].unlinked
+    context.network.run()
+    assert not context.network.daemons_by_host[sender].unlinked
 
 
-@when('"{sender}" sends to "{receiver}", then a newer start of "{same}" does too')
+@when('"{sender}" sends to "{receiver}", then a newer incarnation of "{same}" does too')
 def newer_start(context, sender, receiver, same):
-    async def step(scene):
-        address = scene.sides[receiver].address
-        scene.send(sender, receiver, address)
-        await until(lambda: len(scene.sides[receiver].heard) == 1)
-        scene.sides["newer"] = Side(same, incarnation=2)
-        scene.send("newer", receiver, address)
-        await until(lambda: len(scene.sides[receiver].heard) == 2)
+    async def step(network):
+        address = network.daemons_by_host[receiver].address
+        network.send(sender, receiver, address)
+        await until(lambda: len(network.daemons_by_host[receiver].received) == 1)
+        network.daemons_by_host["newer"] = Daemon(same, incarnation=2)
+        network.send("newer", receiver, address)
+        await until(lambda: len(network.daemons_by_host[receiver].received) == 2)
 
-    context.scene.story.append(step)
+    context.network.steps.append(step)
 
 
-@when('the older start of "{host}" sends again')
+@when('the older incarnation of "{host}" sends again')
 def older_sends(context, host):
-    async def step(scene):
-        address = scene.sides["host-1"].address
+    async def step(network):
+        address = network.daemons_by_host["host-1"].address
         for _ in range(10):
-            scene.send(host, "host-1", address)
+            network.send(host, "host-1", address)
             await anyio.sleep(0.1)
 
-    context.scene.story.append(step)
+    context.network.steps.append(step)
 
 
-@then('"{receiver}" hears no more from the older start')
-def older_not_heard(context, receiver):
-    context.scene.run()
-    assert len(context.scene.sides[receiver].heard) == 2
+@then('"{receiver}" receives nothing more from the older incarnation')
+def older_not_received(context, receiver):
+    context.network.run()
+    assert len(context.network.daemons_by_host[receiver].received) == 2
 
 
 @when('a host that knows the secret sends {kind} to "{receiver}"')
 def sends_bad(context, kind, receiver):
-    async def step(scene):
-        ip, _, port = scene.sides[receiver].address.rpartition(":")
+    async def step(network):
+        ip, _, port = network.daemons_by_host[receiver].address.rpartition(":")
         stream = await anyio.connect_tcp(ip, int(port))
         await Handshake("host-9", 1, SECRET).greet(stream, receiver)
         with contextlib.suppress(anyio.BrokenResourceError):
             await stream.send(BAD_BYTES[kind])
-        scene.bad = stream
+        network.bad = stream
 
-    context.scene.story.append(step)
+    context.network.steps.append(step)
 
 
 @when('a host that knows the secret sends {kind} to "{receiver}", and then a message')
 def sends_more(context, kind, receiver):
     sends_bad(context, kind, receiver)
 
-    async def step(scene):
-        await scene.bad.send(msgpack.packb(["ProbeAsk"]))
+    async def step(network):
+        await network.bad.send(msgpack.packb(["ProbeAsk"]))
 
-    context.scene.story.append(step)
+    context.network.steps.append(step)
 
 
-@then('"{receiver}" hears that message on the same stream')
-def hears_after(context, receiver):
-    async def step(scene):
-        heard = scene.sides[receiver].heard
-        await until(lambda: "host-9" in {event.host for event in heard})
-        await scene.bad.aclose()
+@then('"{receiver}" receives that message on the same stream')
+def receives_after(context, receiver):
+    async def step(network):
+        received = network.daemons_by_host[receiver].received
+        await until(lambda: "host-9" in {event.host for event in received})
+        await network.bad.aclose()
 
-    context.scene.story.append(step)
+    context.network.steps.append(step)
 
 
 @then('"{receiver}" closes that stream')
 def closes_bad(context, receiver):
-    async def step(scene):
+    async def step(network):
         with anyio.fail_after(LIMIT_S):
             try:
                 while True:
-                    await scene.bad.receive()
+                    await network.bad.receive()
             except (anyio.EndOfStream, anyio.BrokenResourceError):
-                await scene.bad.aclose()
+                await network.bad.aclose()
 
-    context.scene.story.append(step)
+    context.network.steps.append(step)
 
 
-@then('"{receiver}" still hears "{sender}"')
-def still_hears(context, receiver, sender):
-    async def step(scene):
-        scene.send(sender, receiver, scene.sides[receiver].address)
-        await until(lambda: scene.sides[receiver].heard)
+@then('"{receiver}" still receives messages from "{sender}"')
+def still_receives(context, receiver, sender):
+    async def step(network):
+        network.send(sender, receiver, network.daemons_by_host[receiver].address)
+        await until(lambda: network.daemons_by_host[receiver].received)
 
-    context.scene.story.append(step)
-    context.scene.run()
+    context.network.steps.append(step)
+    context.network.run()
 
 
 @when('"{sender}" sends to "{receiver}" once')
 def sends_once(context, sender, receiver):
-    async def step(scene):
-        scene.expected = len(scene.sides[receiver].heard) + 1
-        scene.send(sender, receiver, scene.sides[receiver].address)
+    async def step(network):
+        network.expected = len(network.daemons_by_host[receiver].received) + 1
+        network.send(sender, receiver, network.daemons_by_host[receiver].address)
 
-    context.scene.story.append(step)
+    context.network.steps.append(step)
 
 
-@then('"{receiver}" hears it')
-def hears_it(context, receiver):
-    async def step(scene):
-        await until(lambda: len(scene.sides[receiver].heard) == scene.expected)
+@then('"{receiver}" receives it')
+def receives_it(context, receiver):
+    async def step(network):
+        await until(
+            lambda: len(network.daemons_by_host[receiver].received) == network.expected
+        )
 
-    context.scene.story.append(step)
+    context.network.steps.append(step)
 
 
 @then("the stream is closed again")
 def closed_again(context):
-    async def step(scene):
-        await until(lambda: not scene.sides["host-0"].peers.open_streams)
+    async def step(network):
+        await until(lambda: not network.daemons_by_host["host-0"].peers.open_streams)
 
-    context.scene.story.append(step)
+    context.network.steps.append(step)
--- a/packages/core/src/knapweedbridge_core/addresses.py
+++ b/packages/core/src/knapweedbridge_core/addresses.py
@@ -1,7 +1,7 @@
-"""Addresses as settings and folders write them."""
+"""Addresses in the form used by settings and configurations."""
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Return IP number and port of ``IP:port``; version 6 stands in brackets."""
+    """Return the IP and port of ``IP:port``; IPv6 addresses are in brackets."""
     ip, _, port = address.rpartition(":")
     return ip.removeprefix("[").removesuffix("]"), int(port or 0)
--- a/packages/core/src/knapweedbridge_core/changes.py
+++ b/packages/core/src/knapweedbridge_core/changes.py
@@ -1,7 +1,7 @@
-"""Takes a change of a few sections over into a built configuration.
+"""Applies changes of a few sections to a built configuration.
 
-Building 28,000 adapters anew for each change would cost a daemon more than all
-its other control; here only the look-ups that a change touches are copied.
+Rebuilding a configuration of 28,000 adapters for each change would cost a daemon
+more than the rest of its control work, so only the affected look-ups are copied.
 """
 
 from collections.abc import Callable
@@ -30,18 +30,18 @@
 def change(
     older: Configuration, generation: int, token: str, parts: Parts, changes: Changes
 ) -> Configuration:
-    """Return the configuration that follows an older one.
+    """Return a configuration with changes applied to an older one.
 
     Parameters
     ----------
     older : Configuration
-        Stays as it is; look-ups that do not change are shared with it.
+        Not modified; look-ups that do not change are shared with it.
     generation, token : int, str
-        Of the new root.
+        Generation and token of the new root.
     parts : Parts
         The new parts.
     changes : dict of str to dict or None
-        Sections that differ between the two; None: removed.
+        New content of each section that differs; None if it was removed.
     """
     kinds = {title.partition(" ")[0] for title in changes}
     copies: dict[str, Any] = {
@@ -66,7 +66,7 @@
 def _remove_named(
     newer: Configuration, kind: str, name: str, older: Configuration
 ) -> None:
-    # A newer daemon's folder may hold kinds that this one does not know.
+    # A configuration written by a newer daemon may hold unknown section kinds.
     if kind in _LOOK_UPS:
         getattr(newer, _LOOK_UPS[kind]).pop(name, None)
 
@@ -85,7 +85,7 @@
             newer.keys_by_hash.pop(digest, None)
 
 
-def _remove_limit(
+def _remove_weight_store(
     newer: Configuration, kind: str, name: str, older: Configuration
 ) -> None:
     newer.loads_per_s = DEFAULT_LOADS_PER_S
@@ -100,6 +100,6 @@
 _REMOVERS: dict[str, Callable[[Configuration, str, str, Configuration], None]] = {
     "version": _remove_version,
     "key": _remove_key,
-    "weight_store": _remove_limit,
+    "weight_store": _remove_weight_store,
     "placement": _remove_placement,
 }
--- a/packages/core/src/knapweedbridge_core/codec.py
+++ b/packages/core/src/knapweedbridge_core/codec.py
@@ -1,7 +1,7 @@
-"""The encoding of messages in msgpack.
+"""Encodes and decodes messages in msgpack.
 
-A message travels as ``[tag, field, field, ...]`` in the order of its class. Only
-classes whose module was imported are decoded: `messages` imports them all.
+A message is sent as ``[tag, field, field, ...]`` in the order of its class. Only
+classes whose module was imported can be decoded; `messages` imports them all.
 """
 
 from collections.abc import Callable
@@ -31,22 +31,22 @@
 
 @dataclass_transform(frozen_default=True)
 def message(cls: type[T] | None = None, /, *, tag: str = "") -> Any:
-    """Make a class a record that is sent as a message.
+    """Turn a class into a record that can be sent as a message.
 
     Parameters
     ----------
     cls : type
-        The class, where the decorator is used without arguments.
+        The class, if the decorator is used without arguments.
     tag : str
-        What the message is called on the wire, which daemons of older releases know;
-        empty: the name of the class.
+        Name of the message on the wire, as known to daemons of older releases;
+        empty for the name of the class.
     """
 
     def register(kind: type[T]) -> type[T]:
-        made = record(kind)
-        _TAGS[made] = tag or made.__name__
-        _CLASSES[_TAGS[made]] = made
-        return made
+        message_class = record(kind)
+        _TAGS[message_class] = tag or message_class.__name__
+        _CLASSES[_TAGS[message_class]] = message_class
+        return message_class
 
     return register if cls is None else register(cls)
 
@@ -55,24 +55,24 @@
     if isinstance(value, AdapterVersion):
         packed = msgpack.packb([value.adapter, value.version])
         return msgpack.ExtType(_MODEL_EXTENSION, packed)
-    raise MessageError(f"{type(value).__name__} cannot travel in a message")
+    raise MessageError(f"{type(value).__name__} cannot be encoded in a message")
 
 
 def _unpack_extension(code: int, data: bytes) -> Any:
     if code != _MODEL_EXTENSION:
-        raise MessageError(f"unknown extension {code}")
+        raise MessageError(f"unknown msgpack extension {code}")
     return AdapterVersion(*msgpack.unpackb(data))
 
 
-def encode(sent: Any) -> bytes:
-    """Encode one message."""
-    values = values_of(sent)
-    tag = _TAGS.get(type(sent), type(sent).__name__)
+def encode(instance: Any) -> bytes:
+    """Encode a message."""
+    values = values_of(instance)
+    tag = _TAGS.get(type(instance), type(instance).__name__)
     return msgpack.packb([tag, *values], default=_pack_default)
 
 
 def unpacker(max_message_bytes: int = MAX_MESSAGE_BYTES) -> msgpack.Unpacker:
-    """Make the incremental decoder of one peer stream."""
+    """Return an incremental decoder for the stream of a peer."""
     return msgpack.Unpacker(
         ext_hook=_unpack_extension,
         max_buffer_size=max_message_bytes,
@@ -81,22 +81,22 @@
 
 
 def decode(packed: Any) -> Any:
-    """Turn one unpacked list into its message.
+    """Return the message of an unpacked list.
 
-    Fields that a later version has added at the end are dropped.
+    Fields that a later version added at the end are ignored.
 
     Raises
     ------
     UnknownMessageError
-        If the tag is none of this version's.
+        If this version has no message with the tag.
     MessageError
-        If the fields do not fit.
+        If the list is not a message or its fields do not match the class.
     """
     try:
         tag, *values = packed
         known = _CLASSES.get(tag)
         if known is None and isinstance(tag, str):
-            raise UnknownMessageError(f"no message of this version: {tag:.50}")
+            raise UnknownMessageError(f"unknown message tag: {tag:.50}")
         return _CLASSES[tag](*values[: field_count(_CLASSES[tag])])
     except (TypeError, ValueError, KeyError) as error:
-        raise MessageError(f"no message of ours: {packed!r:.200}") from error
+        raise MessageError(f"invalid message: {packed!r:.200}") from error
--- a/packages/core/src/knapweedbridge_core/configuration.py
+++ b/packages/core/src/knapweedbridge_core/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration in force: adapters, versions, routes, rules, endpoints, keys."""
+"""The active configuration, built from its sections and indexed for look-ups."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -44,10 +44,10 @@
 
 @dataclass(slots=True)
 class Configuration:
-    """One generation of the configuration, ready for look-ups.
+    """One generation of the configuration, indexed for look-ups.
 
-    The sections stay packed in ``parts``: kept unpacked they would cost more
-    memory than all else a daemon holds for control.
+    ``parts`` keeps the sections packed: unpacked they would take more memory
+    than the rest of a daemon's control state.
     """
 
     generation: int = 0
@@ -66,18 +66,19 @@
 
     @property
     def sections(self) -> Sections:
-        """All sections, unpacked anew at each call."""
+        """All sections; each access unpacks them again."""
         return self.parts.sections()
 
     def base_model_of(self, model: AdapterVersion) -> str:
-        """Name the base model that an adapter version refines."""
+        """Return the name of the base model of an adapter version."""
         return self.adapters[model.adapter].base_model
 
 
 def build(generation: int, sections: Sections) -> tuple[Configuration, list[Fault]]:
-    """Build a configuration from merged sections, with every fault found.
+    """Build a configuration from merged sections and return all faults found.
 
-    A faulty section is left out; that others refer to it is no fault of theirs.
+    An invalid section is left out. References to it from other sections are not
+    reported as faults.
     """
     configuration = Configuration(generation, "", Parts.of(sections))
     faults = add_sections(configuration, sections)
@@ -89,13 +90,13 @@
 def build_parts(
     generation: int, token: str, parts: Parts
 ) -> tuple[Configuration, list[Fault]]:
-    """Build a configuration from its parts, with the faults found."""
+    """Build a configuration from its parts and return all faults found."""
     configuration = Configuration(generation, token, parts)
     return configuration, add_sections(configuration, parts.sections())
 
 
 def add_sections(into: Configuration, sections: Sections) -> list[Fault]:
-    """Add sections to the look-ups, what others refer to first."""
+    """Add sections to the look-ups, those that others refer to first."""
     faults: list[Fault] = []
     for title in sorted(sections, key=build_order):
         kind, _, name = title.partition(" ")
@@ -107,7 +108,7 @@
         faults += found
         if not found:
             faults += _add(into, kind, title, intern(name), values)
-    # A section with a fault of its own was left out: it is there, all the same.
+    # An invalid section was left out but exists, so references to it are valid.
     present = {_missing(title) for title in sections} if faults else set()
     return [fault for fault in faults if fault.message not in present]
 
@@ -116,14 +117,14 @@
     return f"no section [{title}]"
 
 
-_ORDER = {kind: place for place, kind in enumerate(SECTION_KINDS)}
+_ORDER = {kind: index for index, kind in enumerate(SECTION_KINDS)}
 
-# Thousands of adapters name the same few teams and models: one string each.
+# Interned, since thousands of adapters name the same few teams and models.
 _SHARED_NAMES = ("team", "base_model", "data_centre", "service", "kind")
 
 
 def build_order(title: str) -> tuple[int, str]:
-    """Return the sorting key by which sections are added."""
+    """Return the sort key that puts sections into the order in which they are added."""
     return _ORDER.get(title.partition(" ")[0], len(_ORDER)), title
 
 
@@ -238,7 +239,7 @@
     if name not in targets:
         return [Fault("", title, key, _missing(f"{key} {name}"))]
     if team and targets[name].team != team:
-        # A team could else loosen what another team's requests may do.
+        # Otherwise a team could relax the rules for another team's requests.
         return [Fault("", title, key, f"this {key} does not belong to {team}")]
     return []
 
--- a/packages/core/src/knapweedbridge_core/configuration_entries.py
+++ b/packages/core/src/knapweedbridge_core/configuration_entries.py
@@ -1,4 +1,4 @@
-"""What a configuration says of each team, key, adapter, route and endpoint."""
+"""The entries of a configuration: teams, keys, adapters, routes and endpoints."""
 
 from dataclasses import dataclass
 
@@ -27,7 +27,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Service:
-    """A plain service reached by path."""
+    """A plain HTTP service, addressed by a path prefix."""
 
     name: str
     team: str
@@ -37,7 +37,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EndpointEntry:
-    """What the configuration says of an endpoint."""
+    """A configured endpoint: a model engine or an instance of a plain service."""
 
     name: str
     kind: str
@@ -52,7 +52,7 @@
 
 @dataclass(slots=True, frozen=True)
 class KeyEntry:
-    """What a key may do."""
+    """An API key: its team, its role and its limits."""
 
     name: str
     team: str
@@ -64,7 +64,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Team:
-    """A team's share and limit."""
+    """A team with its share under overload and its request limit."""
 
     name: str
     share: float
--- a/packages/core/src/knapweedbridge_core/configuration_messages.py
+++ b/packages/core/src/knapweedbridge_core/configuration_messages.py
@@ -1,4 +1,4 @@
-"""Messages by which a configuration spreads."""
+"""Messages that propagate the configuration between daemons."""
 
 from typing import Any
 
@@ -7,7 +7,7 @@
 
 @message(tag="ConfigurationAsk")
 class ConfigurationRequest:
-    """A daemon holds this generation and asks for the sender's."""
+    """Asks for the receiver's configuration; names the generation of the sender."""
 
     generation: int
     token: str
@@ -15,14 +15,14 @@
 
 @message(tag="ConfigurationChanged")
 class ConfigurationDelta:
-    """The changes from the generation asked from to the sender's.
+    """The changes from the requester's generation to the sender's.
 
     Parameters
     ----------
     digests : dict of int to str
-        New names of the parts that changed, by place.
+        New digest of each changed part, by index.
     sections : dict of str to dict or None
-        New content of each changed section; None: removed.
+        New content of each changed section; None if it was removed.
     """
 
     base_token: str
@@ -34,7 +34,7 @@
 
 @message
 class ConfigurationRoot:
-    """The sender's root, where its changes do not reach back far enough."""
+    """The sender's root, if its deltas do not reach back far enough."""
 
     generation: int
     token: str
@@ -43,16 +43,16 @@
 
 @message(tag="PartsAsk")
 class PartsRequest:
-    """Asks for parts by place; the token is the root's."""
+    """Asks for the parts at these indices of the root with this token."""
 
     token: str
-    places: list[int]
+    indices: list[int]
 
 
 @message(tag="PartTold")
 class PartResponse:
-    """One part of a root."""
+    """The content of one part of the root with this token."""
 
     token: str
-    place: int
+    index: int
     content: bytes
--- a/packages/core/src/knapweedbridge_core/configuration_schema.py
+++ b/packages/core/src/knapweedbridge_core/configuration_schema.py
@@ -1,4 +1,4 @@
-"""The sections that a configuration may have, with their keys."""
+"""The kinds of section that a configuration may hold, with their keys."""
 
 from knapweedbridge_core.policy import PLACEMENT_SECTION
 from knapweedbridge_core.rules import WithoutKey
@@ -75,7 +75,9 @@
         "that names methods, then one that names a team.",
         {
             "team": Key(
-                Text(), "", "Team that owns the rule; empty: all, administrators' only."
+                Text(),
+                "",
+                "Team that owns the rule; empty: all, administrators' only.",
             ),
             "service": Key(Text(), "", "Service it is about; empty: all."),
             "application": Key(Text(), "", "Application it is about; empty: all."),
--- a/packages/core/src/knapweedbridge_core/consolidation.py
+++ b/packages/core/src/knapweedbridge_core/consolidation.py
@@ -1,33 +1,33 @@
-"""Moves of hot adapters onto the engines whose steps are fullest, by unused loads.
+"""Consolidates hot adapters on the busiest engines, with loads that are not needed.
 
-Few full engines and many idle ones share each step among more requests than the
-same requests spread evenly. A move loads a second copy where it should be; the
-first copy then is worth nothing and gives its slot to a later load.
+A few full engines and many idle ones batch more requests per step than the same
+requests spread evenly. A move loads a second copy on the target engine; the first
+copy then has no value left, and a later load takes its slot.
 """
 
 from dataclasses import dataclass
 
 from knapweedbridge_core.names import AdapterVersion
 
-ROOM = 0.6
-COLDER_TIMES = 4.0
-LEAST_RATE_PER_S = 0.03
+MAX_BATCH_FILL = 0.6
+MIN_GAIN_RATIO = 4.0
+MIN_RATE_PER_S = 0.03
 
 
 @dataclass(slots=True, frozen=True)
 class HeldAdapter:
-    """An adapter version that holds a slot.
+    """An adapter version that occupies a slot of an engine.
 
     Parameters
     ----------
     model : AdapterVersion
-        Which.
+        Adapter version.
     rate_per_s : float
-        Requests a second expected.
+        Expected requests per second.
     worth : float
-        What evicting it costs; see `Eviction.worth`.
+        Cost of evicting it; see `Eviction.worth`.
     copies : int
-        Endpoints that hold it.
+        Number of endpoints that hold it.
     pinned : bool
         Whether it cannot be evicted now.
     """
@@ -50,13 +50,13 @@
 
     @property
     def rate_per_s(self) -> float:
-        """Requests a second expected over all that it holds."""
+        """Expected requests per second for all adapters it holds."""
         return sum(adapter.rate_per_s for adapter in self.held)
 
 
 @dataclass(slots=True, frozen=True)
 class Move:
-    """Load an adapter version in the place of another."""
+    """A load of an adapter version that evicts another."""
 
     model: AdapterVersion
     endpoint: str
@@ -64,35 +64,40 @@
 
 
 def find_move(engines: list[FullEngine], slack: float) -> Move | None:
-    """Return the move that fills the fullest engine with room, if any.
+    """Return the move that adds load to the busiest engine with spare capacity.
 
     Parameters
     ----------
     engines : list of FullEngine
         All engines of one base model.
     slack : float
-        What the victim may be worth at most.
+        Highest worth of the victim.
+
+    Returns
+    -------
+    move : Move or None
+        None if no move is worthwhile.
     """
     ranked = sorted(engines, key=lambda e: (-e.rate_per_s, e.endpoint))
-    for place, engine in enumerate(ranked):
-        if engine.running >= ROOM * engine.batch:
+    for rank, engine in enumerate(ranked):
+        if engine.running >= MAX_BATCH_FILL * engine.batch:
             continue
-        loose = [adapter for adapter in engine.held if not adapter.pinned]
-        if not loose:
+        evictable = [adapter for adapter in engine.held if not adapter.pinned]
+        if not evictable:
             continue
-        victim = min(loose, key=lambda adapter: (adapter.worth, adapter.model))
-        there = {adapter.model for adapter in engine.held}
+        victim = min(evictable, key=lambda adapter: (adapter.worth, adapter.model))
+        present = {adapter.model for adapter in engine.held}
         colder = [
             adapter
-            for other in ranked[place + 1 :]
+            for other in ranked[rank + 1 :]
             for adapter in other.held
-            if adapter.copies == 1 and adapter.model not in there
+            if adapter.copies == 1 and adapter.model not in present
         ]
         if not colder or victim.worth > slack:
             return None
         hot = max(colder, key=lambda adapter: (adapter.rate_per_s, adapter.model))
-        least = max(LEAST_RATE_PER_S, COLDER_TIMES * victim.worth)
-        if hot.rate_per_s < least:
+        min_rate_per_s = max(MIN_RATE_PER_S, MIN_GAIN_RATIO * victim.worth)
+        if hot.rate_per_s < min_rate_per_s:
             return None
         return Move(hot.model, engine.endpoint, victim.model)
     return None
--- a/packages/core/src/knapweedbridge_core/deltas.py
+++ b/packages/core/src/knapweedbridge_core/deltas.py
@@ -1,52 +1,53 @@
-"""News of members, sent a bounded number of times inside heartbeats."""
+"""Membership updates, each piggybacked on a bounded number of heartbeats."""
 
 from collections import Counter
 from dataclasses import dataclass, field
 
 from knapweedbridge_core.members import MemberState
 
-STATES_A_HEARTBEAT = 8
-SENDS_A_NEIGHBOUR = 2
+MAX_STATES_PER_HEARTBEAT = 8
+SENDS_PER_NEIGHBOUR = 2
 
 
 @dataclass(slots=True)
-class _News:
+class _Update:
     state: MemberState
     sends: Counter = field(default_factory=Counter)
     total: int = 0
 
 
 class Deltas:
-    """The news this daemon still passes on, the least sent first.
+    """The queue of membership updates to gossip, the least sent first.
 
-    Each daemon passes news on to each of its neighbours, which crosses the pool
-    whatever its size; what is lost all the same shows in the checksum.
+    Each daemon forwards an update to each of its neighbours, so that it reaches
+    every member of a pool of any size. The checksum in heartbeats reveals updates
+    that were lost.
     """
 
     def __init__(self) -> None:
-        self._news: dict[str, _News] = {}
+        self._updates: dict[str, _Update] = {}
 
     def add(self, state: MemberState) -> None:
-        """Pass on a word on a member; an older word on it is dropped."""
-        self._news[state.host] = _News(state)
+        """Queue the state of a member, in place of an older state of it."""
+        self._updates[state.host] = _Update(state)
 
     def next(self, neighbour: str) -> list[MemberState]:
-        """Return what goes into the next heartbeat to a neighbour."""
-        if not self._news:
+        """Return the updates for the next heartbeat to a neighbour."""
+        if not self._updates:
             return []
         due = [
-            news
-            for news in self._news.values()
-            if news.sends[neighbour] < SENDS_A_NEIGHBOUR
+            update
+            for update in self._updates.values()
+            if update.sends[neighbour] < SENDS_PER_NEIGHBOUR
         ]
-        due.sort(key=lambda news: news.total)
-        for news in due[:STATES_A_HEARTBEAT]:
-            news.sends[neighbour] += 1
-            news.total += 1
-        return [news.state for news in due[:STATES_A_HEARTBEAT]]
+        due.sort(key=lambda update: update.total)
+        for update in due[:MAX_STATES_PER_HEARTBEAT]:
+            update.sends[neighbour] += 1
+            update.total += 1
+        return [update.state for update in due[:MAX_STATES_PER_HEARTBEAT]]
 
     def discard_sent(self, neighbours: list[str]) -> None:
-        """Drop the news that every neighbour was sent often enough."""
-        for host, news in list(self._news.items()):
-            if all(news.sends[name] >= SENDS_A_NEIGHBOUR for name in neighbours):
-                del self._news[host]
+        """Drop updates that were sent often enough to every neighbour."""
+        for host, update in list(self._updates.items()):
+            if all(update.sends[name] >= SENDS_PER_NEIGHBOUR for name in neighbours):
+                del self._updates[host]
--- a/packages/core/src/knapweedbridge_core/differences.py
+++ b/packages/core/src/knapweedbridge_core/differences.py
@@ -1,4 +1,4 @@
-"""What differs between two configurations, section by section, key by key."""
+"""The differences between two configurations, by section and key."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -8,7 +8,7 @@
 
 
 class ChangeKind(StrEnum):
-    """What happened to a section or a key."""
+    """How a section or a key changed."""
 
     ADDED = "added"
     CHANGED = "changed"
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Change:
-    """One difference; with an empty key it is of a whole section."""
+    """One difference; an empty key stands for the whole section."""
 
     kind: ChangeKind
     section: str
@@ -38,7 +38,7 @@
 
 
 def compare(before: Sections, after: Sections) -> list[Change]:
-    """Return the changes that lead from one configuration to the other.
+    """Return the changes from one configuration to the other.
 
     A section that was added or removed gives one change for itself and one
     for each of its keys.
--- a/packages/core/src/knapweedbridge_core/errors.py
+++ b/packages/core/src/knapweedbridge_core/errors.py
@@ -1,16 +1,16 @@
-"""Errors of the core layer."""
+"""Exceptions of the core layer."""
 
 
 class CoreError(Exception):
-    """Base of every error the core raises."""
+    """Base class of all exceptions raised by the core."""
 
 
 class NameFormatError(CoreError):
-    """A name in a request or a folder is malformed."""
+    """A name in a request or a configuration folder is malformed."""
 
 
 class CheckError(CoreError):
-    """Settings or a folder hold faults.
+    """Settings or a configuration folder are invalid.
 
     Parameters
     ----------
@@ -24,12 +24,12 @@
 
 
 class MessageError(CoreError):
-    """A peer sent bytes that are no message of ours."""
+    """A peer sent bytes that are not a valid message."""
 
 
 class UnknownMessageError(MessageError):
-    """A message of a kind that a later version has."""
+    """A peer sent a message whose tag this version does not know."""
 
 
 class ContentError(CoreError):
-    """A part of the configuration is not what its name says."""
+    """The content of a configuration part does not match its digest."""
--- a/packages/core/src/knapweedbridge_core/events.py
+++ b/packages/core/src/knapweedbridge_core/events.py
@@ -1,4 +1,4 @@
-"""What the shell tells the core."""
+"""Events that the daemon passes to the core."""
 
 from dataclasses import dataclass
 
@@ -41,7 +41,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ListedHost:
-    """One line of the platform's lagging list."""
+    """An entry of the platform's host list, which may be out of date."""
 
     name: str
     kind: str
@@ -52,7 +52,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Request:
-    """One request of a caller, without its body.
+    """A request of a caller, without its body.
 
     Parameters
     ----------
@@ -61,23 +61,23 @@
     caller, team : str
         The caller's key and its team.
     model : AdapterVersion or None
-        What a model request runs on.
+        Adapter version of a model request.
     service : str
-        The plain service that a call names, or empty.
+        Plain service that the request addresses, or empty.
     priority : str
         ``interactive``, ``normal`` or ``batch``.
     non_idempotent : bool
-        Whether it may run at most once.
+        Whether the request may run only once.
     idempotency_key : str
-        Key by which a repeat is known, or empty.
+        Key that identifies a repeated request, or empty.
     deadline_s : float
-        When its answer is worthless, on the daemon's clock.
+        When the response is no longer useful, on the daemon's clock.
     fingerprint : str
         Hash of caller, model and body.
     streamed : bool
-        Whether the caller asked for a stream of events.
+        Whether the caller asked for a streamed response.
     without_key : WithoutKey
-        What the rules say of it should it be non-idempotent and without a key.
+        What the rules require if it is non-idempotent and has no key.
     """
 
     request_id: str
@@ -96,17 +96,17 @@
 
 @dataclass(slots=True, frozen=True)
 class Tick:
-    """Time went on."""
+    """Time has advanced; emitted at regular intervals."""
 
 
 @dataclass(slots=True, frozen=True)
 class DrainStarted:
-    """The daemon was asked to stop: it takes nothing new and hands over."""
+    """The daemon was asked to stop: it accepts no new work and hands over its roles."""
 
 
 @dataclass(slots=True, frozen=True)
 class ConfigurationRead:
-    """A configuration was read from the platform or a peer."""
+    """A whole configuration was read from the platform or a peer."""
 
     configuration: Configuration
 
@@ -121,26 +121,26 @@
 
 @dataclass(slots=True, frozen=True)
 class RootRead:
-    """The platform's service showed its root, whatever its generation."""
+    """The root was read from the platform's key-value service, of any generation."""
 
     root: Root
 
 
 @dataclass(slots=True, frozen=True)
 class GenerationApplied:
-    """A new generation came in force on this daemon."""
+    """A new generation of the configuration became active on this daemon."""
 
     generation: int
 
 
 @dataclass(slots=True, frozen=True)
 class GenerationsRequested:
-    """An operator wants to know which generation each member holds."""
+    """An operator requested the generation that each member holds."""
 
 
 @dataclass(slots=True, frozen=True)
 class HostsListed:
-    """The platform's list was read."""
+    """The platform's host list was read."""
 
     hosts: tuple[ListedHost, ...]
 
@@ -154,14 +154,14 @@
 
 @dataclass(slots=True, frozen=True)
 class AdapterMissed:
-    """A request of this daemon wants an adapter that no endpoint holds."""
+    """A request of this daemon needs an adapter that no endpoint holds."""
 
     request: Request
 
 
 @dataclass(slots=True, frozen=True)
 class AttemptEnded:
-    """An attempt the core dispatched ended."""
+    """An attempt that the core dispatched ended."""
 
     request_id: str
     attempt_id: str
@@ -170,7 +170,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AttemptCancelled:
-    """An endpoint was told to cancel an attempt, or could not be told."""
+    """An attempt was cancelled at its endpoint, or the cancellation failed."""
 
     attempt_id: str
     confirmed: bool
@@ -178,24 +178,24 @@
 
 @dataclass(slots=True, frozen=True)
 class ClaimsDue:
-    """The claims that wait may be written."""
+    """The queued claims may be written."""
 
 
 @dataclass(slots=True, frozen=True)
 class CallerDisconnected:
-    """The caller went away before its answer was whole."""
+    """The caller disconnected before its response was complete."""
 
     request_id: str
 
 
 @dataclass(slots=True, frozen=True)
 class OrderEnded:
-    """An endpoint answered an order, or failed to.
+    """An order to an endpoint was answered or failed.
 
     Parameters
     ----------
     known : bool
-        False where the order may have taken effect, or may yet.
+        False if the order may have taken effect or may still do so.
     """
 
     endpoint: str
@@ -208,7 +208,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EndpointReported:
-    """A report of an endpoint arrived; it may be old.
+    """A report of an endpoint arrived; it may be out of date.
 
     Parameters
     ----------
@@ -224,18 +224,18 @@
 
 @dataclass(slots=True, frozen=True)
 class StoreResponse:
-    """The key-value service answered, or did not.
+    """A call to the key-value service was answered or failed.
 
     Parameters
     ----------
     token : str
         Token of the call.
     known : bool
-        False where the call may have taken effect without our knowing.
+        False if it is unknown whether the call took effect.
     applied : bool
-        Whether the comparisons held.
+        Whether the comparisons of the transaction succeeded.
     values : dict of str to (bytes, revision)
-        What was read.
+        Values read, by key.
     """
 
     token: str
@@ -246,23 +246,23 @@
 
 @dataclass(slots=True, frozen=True)
 class DrainGraceEnded:
-    """The grace of a drain is over: requests that still arrive are refused."""
+    """The grace period of a drain ended: new requests are refused."""
 
 
 @dataclass(slots=True, frozen=True)
 class EndpointProbed:
-    """A probe of an endpoint ended.
+    """A health check of an endpoint ended.
 
     Parameters
     ----------
     reached : bool
         Whether the endpoint answered.
     leaving : bool
-        Whether it said that it takes no new work.
+        Whether it reported that it accepts no new work.
     loaded : tuple of AdapterVersion
-        What an engine holds; empty for a plain service.
+        Adapter versions that an engine holds; empty for a plain service.
     incarnation : str
-        Which start of the endpoint answered; empty where it does not tell.
+        Identifies the start of the endpoint that answered; empty if not reported.
     """
 
     endpoint: str
@@ -274,7 +274,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EndpointDrainRequested:
-    """An operator asked that an endpoint gets no new work, or that it may again."""
+    """An operator asked to drain an endpoint, or to end the drain."""
 
     endpoint: str
     drained: bool
@@ -282,7 +282,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AttemptResult:
-    """The callers' side tells the other sides how an attempt ended."""
+    """The outcome of an attempt, which the request component sends to the others."""
 
     request: Request
     attempt_id: str
--- a/packages/core/src/knapweedbridge_core/faults.py
+++ b/packages/core/src/knapweedbridge_core/faults.py
@@ -1,4 +1,4 @@
-"""Faults found in INI text, each with its place."""
+"""Faults found in INI text, each with its location."""
 
 import re
 from configparser import ConfigParser, DuplicateOptionError, DuplicateSectionError
@@ -9,14 +9,14 @@
 _HEADER = re.compile(r"\[(.+)\]")
 _OPTION = re.compile(r"([^\s#;=:\[][^=:]*?)\s*[=:]")
 
-# A header needs at least one character, so no file can name this section, and
-# [DEFAULT] is a section like any other instead of keys for all sections.
+# A header has at least one character, so no file can name this section. This makes
+# [DEFAULT] an ordinary section instead of one whose keys apply to all sections.
 _NO_DEFAULT_SECTION = ""
 
 
 @dataclass(slots=True, frozen=True)
 class Fault:
-    """One fault in one place, with what is allowed there."""
+    """A validation error with its location and what is allowed there."""
 
     file: str
     section: str
@@ -24,16 +24,16 @@
     message: str
 
     def __str__(self) -> str:
-        place = self.file
+        location = self.file
         if self.section:
-            place += f": [{self.section}]"
+            location += f": [{self.section}]"
         if self.key:
-            place += f" {self.key}"
-        return f"{place}: {self.message}"
+            location += f" {self.key}"
+        return f"{location}: {self.message}"
 
 
 def read_ini(file: str, text: str) -> tuple[ConfigParser, list[Fault]]:
-    """Parse one INI text; a syntax fault is reported, never raised."""
+    """Parse an INI text; syntax errors are returned, never raised."""
     faults: list[Fault] = []
     parser = _make_parser(strict=True)
     try:
@@ -46,7 +46,7 @@
         faults += _find_duplicates(file, text) or [first]
     except IniError as error:
         faults.append(Fault(file, "", "", " ".join(str(error).split())))
-    # What can be read is checked all the same, so that all faults show at once.
+    # Parse what can be parsed, so that its faults are reported at the same time.
     parser = _make_parser(strict=False)
     with suppress(IniError):
         parser.read_string(text, source=file)
@@ -60,7 +60,7 @@
 
 
 def _find_duplicates(file: str, text: str) -> list[Fault]:
-    # The parser would stop at the first duplicate and hide those behind it.
+    # The parser stops at the first duplicate and would hide the others.
     faults: list[Fault] = []
     seen: set[tuple[str, str]] = set()
     section = ""
--- a/packages/core/src/knapweedbridge_core/folder.py
+++ b/packages/core/src/knapweedbridge_core/folder.py
@@ -1,4 +1,4 @@
-"""The operators' folder: INI files merged in the order of their names."""
+"""A folder of configuration files: INI files merged in the order of their names."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
@@ -8,7 +8,7 @@
 from knapweedbridge_core.faults import Fault, read_ini
 
 IN_FORCE = "(in force)"
-"""Stands for the file of a section that no file holds: another team's."""
+"""Reported as the file of a section that is in no file, such as another team's."""
 
 Origin = dict[tuple[str, str], str]
 
@@ -22,9 +22,9 @@
     sections : dict of str to dict of str to str
         The merged sections.
     origin : dict of (section, key) to str
-        The file each section (key ``""``) and key came from last.
+        File that defines each section (key ``""``), and the last file to set each key.
     faults : list of Fault
-        Faults of syntax.
+        Syntax errors.
     """
 
     sections: Sections = field(default_factory=dict)
@@ -32,13 +32,13 @@
     faults: list[Fault] = field(default_factory=list)
 
     def locate(self, fault: Fault) -> Fault:
-        """Return the fault with the file its section or key came from."""
+        """Return the fault with the file that its section or key came from."""
         file = self.origin.get((fault.section, fault.key))
         file = file or self.origin.get((fault.section, "")) or fault.file or IN_FORCE
         return Fault(file, fault.section, fault.key, fault.message)
 
     def check(self, others: Mapping[str, dict[str, str]] | None = None) -> None:
-        """Check the sections, beside `others` that stand in no file.
+        """Check the sections together with `others`, which are in no file.
 
         Raises
         ------
@@ -57,8 +57,8 @@
     Parameters
     ----------
     files : iterable of (name, text)
-        In any order; they are merged by name, a later one refining an
-        earlier one key by key.
+        In any order. They are merged in the order of their names; a key of a
+        later file replaces that of an earlier one.
     """
     folder = Folder()
     for file, text in sorted(files):
--- a/packages/core/src/knapweedbridge_core/key_digests.py
+++ b/packages/core/src/knapweedbridge_core/key_digests.py
@@ -1,4 +1,4 @@
-"""Keys that callers and operators show; only their digests are kept."""
+"""Digests of the API keys of callers and operators; keys are not stored."""
 
 import hashlib
 
@@ -6,12 +6,12 @@
 
 
 def digest_key(key: str) -> str:
-    """Return the SHA-256 of a key, as configurations hold it."""
+    """Return the SHA-256 digest of a key in hexadecimal, as in configurations."""
     return hashlib.sha256(key.encode()).hexdigest()
 
 
 def bearer_key_digest(authorization: str) -> str:
-    """Return the digest of the key in an Authorization header; empty: it has none."""
+    """Return the digest of the key in an Authorization header; empty without a key."""
     scheme, _, key = authorization.strip().partition(" ")
     key = key.strip()
     return digest_key(key) if key and scheme.lower() == BEARER else ""
--- a/packages/core/src/knapweedbridge_core/names.py
+++ b/packages/core/src/knapweedbridge_core/names.py
@@ -1,4 +1,4 @@
-"""Names of adapters, versions and sections."""
+"""Names of adapters, adapter versions and sections."""
 
 import re
 from dataclasses import dataclass
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True, frozen=True, order=True)
 class AdapterVersion:
-    """One version of one adapter; an engine knows it as ``adapter@version``."""
+    """One version of an adapter, called ``adapter@version`` by engines."""
 
     adapter: str
     version: str
@@ -20,17 +20,17 @@
 
 
 def is_name(text: str) -> bool:
-    """Tell whether ``text`` may name an adapter, team, route or endpoint."""
+    """Return whether ``text`` can name an adapter, team, route or endpoint."""
     return _PART.fullmatch(text) is not None
 
 
 def parse_adapter_version(text: str) -> AdapterVersion:
-    """Read ``adapter@version``.
+    """Parse ``adapter@version``.
 
     Raises
     ------
     NameFormatError
-        If ``text`` has another form.
+        If ``text`` is not of this form.
     """
     adapter, at, version = text.partition("@")
     if not at or not is_name(adapter) or not is_name(version):
--- a/packages/core/src/knapweedbridge_core/parts.py
+++ b/packages/core/src/knapweedbridge_core/parts.py
@@ -1,7 +1,7 @@
-"""The parts a configuration is kept and sent in, each named by its content's hash.
+"""Splits a configuration into parts that are stored and sent by content hash.
 
-A section belongs to one part by the hash of its title, so that one change
-rewrites one part. In memory a part stays packed and compressed.
+A section belongs to the part given by the hash of its title, so a change of one
+section rewrites one part. In memory a part stays packed and compressed.
 """
 
 import hashlib
@@ -21,31 +21,31 @@
 
 
 def part_of(title: str) -> int:
-    """Return the place of the part that holds a section."""
+    """Return the index of the part that holds a section."""
     digest = hashlib.blake2b(title.encode(), digest_size=2).digest()
     return int.from_bytes(digest, "big") % PARTS
 
 
 def digest_of(content: bytes) -> str:
-    """Name a part by its content; an empty part has the empty name."""
+    """Return the SHA-256 digest of a part; empty for an empty part."""
     return hashlib.sha256(content).hexdigest() if content else EMPTY
 
 
 def verify(digest: str, content: bytes) -> bytes:
-    """Return the content if its name is right.
+    """Return the content if it matches the digest.
 
     Raises
     ------
     ContentError
-        If the content is not the one named, as after a damaged restore.
+        If the content does not match, as after a damaged restore.
     """
     if digest_of(content) != digest:
-        raise ContentError(f"part {digest:.12} holds other content")
+        raise ContentError(f"part {digest:.12}: content does not match its digest")
     return content
 
 
 def pack_part(sections: Sections) -> bytes:
-    """Pack a part; equal sections give equal bytes, whatever their order was."""
+    """Pack a part; equal sections give equal bytes in whatever order they come."""
     if not sections:
         return b""
     ordered = {
@@ -55,22 +55,22 @@
 
 
 def unpack_part(content: bytes) -> Sections:
-    """Undo `pack_part`."""
+    """Return the sections of a part packed by `pack_part`."""
     return msgpack.unpackb(content) if content else {}
 
 
 @dataclass(slots=True, frozen=True)
 class Root:
-    """What names one generation of the configuration.
+    """Identifies one generation of the configuration and its parts.
 
     Parameters
     ----------
     generation : int
-        Rises with each accepted change.
+        Increases with each accepted change.
     token : str
-        Unique to the write, so that identical contents of two operators differ.
+        Unique to the write, so that equal contents written by two operators differ.
     digests : tuple of str
-        Name of each part, by place; empty where the part holds nothing.
+        Digest of each part, by index; empty for an empty part.
     """
 
     generation: int = 0
@@ -80,7 +80,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Parts:
-    """All parts of one generation, by place."""
+    """All parts of one generation, by index."""
 
     digests: tuple[str, ...] = (EMPTY,) * PARTS
     _packed: tuple[bytes, ...] = (b"",) * PARTS
@@ -92,65 +92,65 @@
         for title, items in sections.items():
             buckets[part_of(title)][title] = items
         return cls().replaced(
-            {place: pack_part(bucket) for place, bucket in enumerate(buckets)}
+            {index: pack_part(bucket) for index, bucket in enumerate(buckets)}
         )
 
-    def content(self, place: int) -> bytes:
-        """Return a part as it is stored and sent."""
-        packed = self._packed[place]
+    def content(self, index: int) -> bytes:
+        """Return the content of a part as it is stored and sent."""
+        packed = self._packed[index]
         return zlib.decompress(packed) if packed else b""
 
     def replaced(self, contents: dict[int, bytes]) -> "Parts":
-        """Return parts in which these places hold other contents."""
+        """Return a copy with new contents for the parts at these indices."""
         digests = list(self.digests)
         packed = list(self._packed)
-        for place, content in contents.items():
-            digests[place] = digest_of(content)
-            packed[place] = zlib.compress(content, _COMPRESSION_LEVEL)
+        for index, content in contents.items():
+            digests[index] = digest_of(content)
+            packed[index] = zlib.compress(content, _COMPRESSION_LEVEL)
         return Parts(tuple(digests), tuple(packed))
 
     def section(self, title: str) -> dict[str, str] | None:
-        """Return one section, or None."""
+        """Return a section, or None if it does not exist."""
         return unpack_part(self.content(part_of(title))).get(title)
 
     def sections(self) -> Sections:
         """Return all sections."""
         joined: Sections = {}
-        for place in range(PARTS):
-            joined.update(unpack_part(self.content(place)))
+        for index in range(PARTS):
+            joined.update(unpack_part(self.content(index)))
         return joined
 
     def changed(self, changes: Changes) -> "Parts":
-        """Return parts with sections replaced, or removed where None."""
+        """Return a copy with sections replaced, or removed where None."""
         buckets: dict[int, Sections] = {}
         for title, items in changes.items():
-            place = part_of(title)
-            if place not in buckets:
-                buckets[place] = unpack_part(self.content(place))
+            index = part_of(title)
+            if index not in buckets:
+                buckets[index] = unpack_part(self.content(index))
             if items is None:
-                buckets[place].pop(title, None)
+                buckets[index].pop(title, None)
             else:
-                buckets[place][title] = items
-        return self.replaced({place: pack_part(b) for place, b in buckets.items()})
+                buckets[index][title] = items
+        return self.replaced({index: pack_part(b) for index, b in buckets.items()})
 
     def changes_from(self, older: "Parts") -> Changes:
-        """Return the changes that turn older parts into these."""
+        """Return the changes from older parts to these."""
         changes: Changes = {}
-        for place in range(PARTS):
-            if self.digests[place] != older.digests[place]:
-                was = unpack_part(older.content(place))
-                now = unpack_part(self.content(place))
-                changes.update({title: None for title in was if title not in now})
+        for index in range(PARTS):
+            if self.digests[index] != older.digests[index]:
+                before = unpack_part(older.content(index))
+                after = unpack_part(self.content(index))
+                changes.update({title: None for title in before if title not in after})
                 changes.update(
                     {
                         title: items
-                        for title, items in now.items()
-                        if was.get(title) != items
+                        for title, items in after.items()
+                        if before.get(title) != items
                     }
                 )
         return changes
 
     @property
     def size_bytes(self) -> int:
-        """Bytes held in memory."""
+        """Memory used by the compressed parts, in bytes."""
         return sum(map(len, self._packed))
--- a/packages/core/src/knapweedbridge_core/policy.py
+++ b/packages/core/src/knapweedbridge_core/policy.py
@@ -1,4 +1,4 @@
-"""Which decisions of placement are in force, by the operators' settings."""
+"""The placement policy, as operators configure it."""
 
 from dataclasses import dataclass
 
@@ -8,13 +8,13 @@
 BATCHES = 1.0
 
 
-class Weigh(ValueType):
+class BatchWeight(ValueType):
     """``stalls``, ``batches``, or a number between them."""
 
     allowed = "stalls, batches or a number from 0 (stalls) to 1 (batches)"
 
     def read(self, text: str) -> float:
-        """Return the number."""
+        """Return the weight as a number."""
         named = {"stalls": STALLS, "batches": BATCHES}
         if text in named:
             return named[text]
@@ -24,7 +24,9 @@
 PLACEMENT_SECTION = Section(
     "How adapters are placed.",
     {
-        "weigh": Key(Weigh(), "stalls", "What weighs more; also a number, 0 to 1."),
+        "weigh": Key(
+            BatchWeight(), "stalls", "What weighs more; also a number, 0 to 1."
+        ),
         "forecast": Key(
             Choice("change_aware", "decayed_count", "last_use"),
             "change_aware",
@@ -46,22 +48,22 @@
 
 @dataclass(slots=True, frozen=True)
 class PlacementPolicy:
-    """The settings of placement.
+    """The placement settings.
 
     Parameters
     ----------
     weigh : float
-        From 0 (load stalls weigh more) to 1 (full batches weigh more).
+        From 0 (prefer few load stalls) to 1 (prefer full batches).
     forecast : str
         ``change_aware``, ``decayed_count`` or ``last_use``.
     order : str
         ``most_awaited`` or ``longest_wait``.
     prefetch : bool
-        Whether unused loads fill free slots.
+        Whether spare loads fill free slots.
     copies : bool
         Whether a hot adapter gets a second copy.
     refuse_late : bool
-        Whether a request that cannot be loaded in time is refused at once.
+        Whether a request whose adapter cannot be loaded in time is refused at once.
     """
 
     weigh: float = STALLS
--- a/packages/core/src/knapweedbridge_core/records.py
+++ b/packages/core/src/knapweedbridge_core/records.py
@@ -1,9 +1,9 @@
-"""Immutable data that is cheap to define and to make.
+"""Immutable data classes that are cheap to define and to instantiate.
 
-A frozen dataclass sets each field by a call, which made three quarters of the time to
-decode a message, and compiles six methods a class, which made a third of the time in
-which a daemon starts. A record is immutable for the type checker only, and shares the
-methods that compare, hash and show it.
+A frozen dataclass sets each field by a function call, which took three quarters of the
+time to decode a message. It also compiles six methods per class, which took a third of
+the startup time of a daemon. A record is immutable for the type checker only, and all
+records share the methods for comparison, hash and representation.
 """
 
 from collections.abc import Callable
@@ -13,46 +13,52 @@
 
 T = TypeVar("T")
 
-_READERS: dict[type, Callable[[Any], tuple]] = {}
-_COUNTS: dict[type, int] = {}
+_GETTERS: dict[type, Callable[[Any], tuple]] = {}
+_FIELD_COUNTS: dict[type, int] = {}
 
 
 @dataclass_transform(frozen_default=True)
 def record(cls: type[T]) -> type[T]:
-    """Make a class a dataclass with slots, equal and hashed by its fields."""
-    made: Any = dataclass(slots=True, eq=False, repr=False)(cls)
-    made.__eq__, made.__hash__, made.__repr__ = _equals, _hash, _show
-    _READERS[made] = _reader([each.name for each in fields(made)])
-    _COUNTS[made] = len(fields(made))
-    return made
-
-
-def _reader(names: list[str]) -> Callable[[Any], tuple]:
+    """Turn a class into a dataclass with slots, compared and hashed by its fields."""
+    record_class: Any = dataclass(slots=True, eq=False, repr=False)(cls)
+    record_class.__eq__, record_class.__hash__, record_class.__repr__ = (
+        _equals,
+        _hash,
+        _repr,
+    )
+    _GETTERS[record_class] = _make_getter([item.name for item in fields(record_class)])
+    _FIELD_COUNTS[record_class] = len(fields(record_class))
+    return record_class
+
+
+def _make_getter(names: list[str]) -> Callable[[Any], tuple]:
     if len(names) > 1:
         return attrgetter(*names)
-    return lambda one: tuple(getattr(one, name) for name in names)
+    return lambda instance: tuple(getattr(instance, name) for name in names)
 
 
 def field_count(kind: type) -> int:
-    """Return how many fields a class of records has."""
-    return _COUNTS[kind]
+    """Return the number of fields of a record class."""
+    return _FIELD_COUNTS[kind]
 
 
-def values_of(one: Any) -> tuple:
-    """Return the fields of a record, in their order."""
-    return _READERS[type(one)](one)
+def values_of(instance: Any) -> tuple:
+    """Return the values of the fields of a record, in their order."""
+    return _GETTERS[type(instance)](instance)
 
 
-def _equals(one: Any, other: Any) -> Any:
-    if type(other) is not type(one):
+def _equals(instance: Any, other: Any) -> Any:
+    if type(other) is not type(instance):
         return NotImplemented
-    return values_of(one) == values_of(other)
+    return values_of(instance) == values_of(other)
 
 
-def _hash(one: Any) -> int:
-    return hash(values_of(one))
+def _hash(instance: Any) -> int:
+    return hash(values_of(instance))
 
 
-def _show(one: Any) -> str:
-    shown = (f"{each.name}={getattr(one, each.name)!r}" for each in fields(one))
-    return f"{type(one).__qualname__}({', '.join(shown)})"
+def _repr(instance: Any) -> str:
+    values = (
+        f"{item.name}={getattr(instance, item.name)!r}" for item in fields(instance)
+    )
+    return f"{type(instance).__qualname__}({', '.join(values)})"
--- a/packages/core/src/knapweedbridge_core/rules.py
+++ b/packages/core/src/knapweedbridge_core/rules.py
@@ -1,4 +1,4 @@
-"""Operators' rules about which requests may never be repeated."""
+"""Rules of operators about which requests must never be retried."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -8,11 +8,11 @@
 
 from knapweedbridge_core.faults import Fault
 
-READING_METHODS = frozenset({"GET", "HEAD"})
+READ_ONLY_METHODS = frozenset({"GET", "HEAD"})
 
 
 class WithoutKey(StrEnum):
-    """What becomes of a non-idempotent request without an idempotency key."""
+    """How a non-idempotent request without an idempotency key is treated."""
 
     RUN = "run"
     REFUSE = "refuse"
@@ -21,25 +21,25 @@
 
 @dataclass(slots=True, frozen=True)
 class Rule:
-    """One ``[rule NAME]`` section; an empty condition holds for every request.
+    """One ``[rule NAME]`` section; an empty condition matches every request.
 
     Parameters
     ----------
     name : str
         Name of the section.
     team : str
-        Team that owns the rule and what the request is for.
+        Team that owns the rule and the target of the request.
     service, application : str
-        What the request is for; at most one of them is set.
+        Target of the request; at most one of them is set.
     methods : tuple of str
-        Methods; empty: all that do more than read.
+        HTTP methods; empty: all but the read-only ones.
     path : str
-        Prefix of the path within the service, by whole segments.
+        Prefix of the path within the service, in whole segments.
     non_idempotent : bool or None
-        Whether a request may run only once; None: what the service or the
-        application says.
+        Whether a request may run only once; None: as set for the service or
+        the application.
     without_key : WithoutKey
-        What becomes of a non-idempotent request without a key.
+        How a non-idempotent request without a key is treated.
     """
 
     name: str
@@ -53,27 +53,27 @@
 
     @property
     def rank(self) -> tuple[bool, int, bool, bool]:
-        """Order of rules that match the same request; the highest wins."""
+        """Precedence among rules that match the same request; the highest wins."""
         named = bool(self.service or self.application)
         return named, len(self.path), bool(self.methods), bool(self.team)
 
 
 @dataclass(slots=True, frozen=True)
 class RequestAttributes:
-    """What of a request a rule looks at.
+    """The attributes of a request that rules match.
 
     Parameters
     ----------
     team : str
         Team that owns the service, the application or the adapter.
     method : str
-        Method of the call.
+        HTTP method.
     service, application : str
-        What was called; both are empty for an adapter version called by name.
+        Target of the request; both empty for an adapter version requested by name.
     path : str
         Path within the service, decoded.
     non_idempotent : bool
-        What the service or the application says.
+        Setting of the service or the application.
     """
 
     team: str
@@ -86,16 +86,16 @@
 
 @dataclass(slots=True, frozen=True)
 class RuleResult:
-    """What the rules say of a request."""
+    """How a request is treated according to the rules."""
 
     non_idempotent: bool
     without_key: WithoutKey = WithoutKey.RUN
 
 
-def evaluate_rules(rules: Iterable[Rule], subject: RequestAttributes) -> RuleResult:
-    """Return what the most specific matching rule says, else the default."""
-    matching = [rule for rule in rules if matches(rule, subject)]
-    default = subject.non_idempotent and subject.method not in READING_METHODS
+def evaluate_rules(rules: Iterable[Rule], attributes: RequestAttributes) -> RuleResult:
+    """Return the result of the most specific matching rule, or the default."""
+    matching = [rule for rule in rules if matches(rule, attributes)]
+    default = attributes.non_idempotent and attributes.method not in READ_ONLY_METHODS
     if not matching:
         return RuleResult(default)
     rule = max(matching, key=lambda rule: rule.rank)
@@ -104,32 +104,32 @@
     return RuleResult(rule.non_idempotent, rule.without_key)
 
 
-def matches(rule: Rule, subject: RequestAttributes) -> bool:
-    """Tell whether a rule is about a request."""
+def matches(rule: Rule, attributes: RequestAttributes) -> bool:
+    """Return whether a rule matches a request."""
     return (
-        rule.team in ("", subject.team)
-        and rule.service in ("", subject.service)
-        and rule.application in ("", subject.application)
-        and _has_method(rule, subject.method)
-        and _holds(rule.path, subject.path)
+        rule.team in ("", attributes.team)
+        and rule.service in ("", attributes.service)
+        and rule.application in ("", attributes.application)
+        and _matches_method(rule, attributes.method)
+        and _matches_path(rule.path, attributes.path)
     )
 
 
-def _has_method(rule: Rule, method: str) -> bool:
+def _matches_method(rule: Rule, method: str) -> bool:
     if rule.methods:
         return method in rule.methods
-    return method not in READING_METHODS
+    return method not in READ_ONLY_METHODS
 
 
-def _holds(prefix: str, path: str) -> bool:
-    # An endpoint may take /open/../new and //new for /new: were they compared
-    # as written, a caller could choose which rule its call falls under.
+def _matches_path(prefix: str, path: str) -> bool:
+    # An endpoint may treat /open/../new and //new as /new. Without normalization a
+    # caller could choose which rule applies to its request.
     path = "/" + normpath("/" + path).lstrip("/")
     return not prefix or path == prefix or path.startswith(prefix + "/")
 
 
 def validate_rule(title: str, values: dict[str, Any]) -> list[Fault]:
-    """Return the faults of a rule that show without the other sections."""
+    """Return the faults of a rule that can be found without the other sections."""
     faults: list[Fault] = []
     path, service = values["path"], values["service"]
     whole = path == normpath(path) and "/" + path.strip("/") == path != "/"
@@ -150,24 +150,24 @@
 
 
 def find_conflict(title: str, rule: Rule, others: Iterable[Rule]) -> list[Fault]:
-    """Return a fault where another rule matches the same requests equally."""
+    """Return a fault if another rule matches a request with equal precedence."""
     for other in others:
-        if other.name != rule.name and _is_equal(rule, other):
+        if other.name != rule.name and _conflicts(rule, other):
             message = f"matches the same requests as [rule {other.name}]"
-            return [Fault("", title, _narrowest_key(rule), message)]
+            return [Fault("", title, _most_specific_key(rule), message)]
     return []
 
 
-def _is_equal(one: Rule, other: Rule) -> bool:
-    return _place(one) == _place(other) and (
+def _conflicts(one: Rule, other: Rule) -> bool:
+    return _scope(one) == _scope(other) and (
         one.methods == other.methods or bool(set(one.methods) & set(other.methods))
     )
 
 
-def _place(rule: Rule) -> tuple[str, ...]:
+def _scope(rule: Rule) -> tuple[str, ...]:
     return rule.team, rule.service, rule.application, rule.path
 
 
-def _narrowest_key(rule: Rule) -> str:
+def _most_specific_key(rule: Rule) -> str:
     keys = ("methods", "path", "service", "application", "team")
     return next((key for key in keys if getattr(rule, key)), "")
--- a/packages/core/src/knapweedbridge_core/schema.py
+++ b/packages/core/src/knapweedbridge_core/schema.py
@@ -1,4 +1,4 @@
-"""Typed keys of INI sections: what each may hold, its unit and its default."""
+"""Typed keys of INI sections: allowed values, units and defaults."""
 
 import re
 from abc import ABC, abstractmethod
@@ -16,13 +16,19 @@
 
 
 class ValueType(ABC):
-    """What a key may hold."""
+    """The type of a key's value; `allowed` describes it in fault messages."""
 
     allowed: str
 
     @abstractmethod
     def read(self, text: str) -> Any:
-        """Turn the text into a value, or raise ValueError."""
+        """Parse the text.
+
+        Raises
+        ------
+        ValueError, KeyError
+            If the text is not allowed.
+        """
 
 
 class Text(ValueType):
@@ -36,7 +42,7 @@
 
 
 class Name(ValueType):
-    """A name as in `names.is_name`."""
+    """A name as accepted by `names.is_name`."""
 
     allowed = "a name of letters, digits, '.', '_' and '-'"
 
@@ -53,7 +59,7 @@
     allowed = "names separated by commas"
 
     def read(self, text: str) -> tuple[str, ...]:
-        """Return the names in their order."""
+        """Return the names in the given order."""
         names = tuple(part.strip() for part in text.split(",") if part.strip())
         if not all(is_name(name) for name in names):
             raise ValueError(text)
@@ -67,7 +73,7 @@
     allowed = "separated by commas, of " + ", ".join(words)
 
     def read(self, text: str) -> tuple[str, ...]:
-        """Return the methods in their order."""
+        """Return the methods in the given order."""
         methods = super().read(text)
         if not set(methods) <= set(self.words):
             raise ValueError(text)
@@ -86,7 +92,7 @@
 
 
 class Number(ValueType):
-    """A number within bounds."""
+    """A number between two bounds, both included."""
 
     def __init__(self, low: float, high: float, whole: bool = False) -> None:
         self.low = low
@@ -117,7 +123,7 @@
 
 
 class Address(ValueType):
-    """An IP number and a port; version 6 stands in brackets."""
+    """A numeric IP address and a port; IPv6 addresses are in brackets."""
 
     allowed = "an address of the form IP:port, the IP as a number"
 
@@ -135,7 +141,7 @@
 
 
 class Url(ValueType):
-    """An HTTP URL whose host is an IP number."""
+    """An HTTP URL whose host is a numeric IP address."""
 
     allowed = "a URL of the form http://IP:port or https://IP:port, IP as a number"
 
@@ -149,7 +155,7 @@
 
 
 class Digest(ValueType):
-    """A SHA-256 in lower-case hexadecimal, as `hashlib` writes it."""
+    """A SHA-256 digest in lower-case hexadecimal, as `hashlib` returns it."""
 
     allowed = "64 digits of lower-case hexadecimal, the SHA-256 of the key"
 
@@ -177,11 +183,11 @@
     Parameters
     ----------
     kind : Kind
-        What the key may hold.
+        Type of the value.
     default : str or None
-        The text used when the key is absent; None makes it required.
+        Text used if the key is absent; None makes the key required.
     help : str
-        What the key is for, with its unit.
+        Description with the unit, for the documentation of settings.
     """
 
     kind: ValueType
@@ -191,7 +197,7 @@
 
 @dataclass(slots=True)
 class Section:
-    """The keys of one kind of section."""
+    """The keys that one kind of section may hold."""
 
     help: str
     keys: dict[str, Key] = field(default_factory=dict)
@@ -199,7 +205,7 @@
     def read(
         self, file: str, title: str, items: Mapping[str, str]
     ) -> tuple[dict[str, Any], list[Fault]]:
-        """Read all keys of one section, and find every fault in it."""
+        """Parse all keys of a section and return the values with all faults found."""
         faults = [
             Fault(file, title, key, f"unknown key; allowed: {', '.join(self.keys)}")
             for key in items
@@ -228,7 +234,7 @@
 def read_sections(
     file: str, text: str, sections: Mapping[str, Section]
 ) -> tuple[dict[str, dict[str, Any]], list[Fault]]:
-    """Read an INI text of known sections, and find every fault in it."""
+    """Parse INI text of known sections and return values and faults found."""
     parser, faults = read_ini(file, text)
     for title in parser.sections():
         if title not in sections:
--- a/packages/core/src/knapweedbridge_core/settings.py
+++ b/packages/core/src/knapweedbridge_core/settings.py
@@ -1,4 +1,4 @@
-"""Settings of one daemon: one INI file, checked whole at the start."""
+"""Settings of a daemon: one INI file, validated as a whole at startup."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -43,7 +43,9 @@
             "certificate_file": Key(FilePath(), "", "PEM certificate; empty: no TLS."),
             "key_file": Key(FilePath(), "", "PEM private key of the certificate."),
             "certificate_poll_s": Key(
-                Number(0.01, 86400), "10", "Pause between looks at them, seconds."
+                Number(0.01, 86400),
+                "10",
+                "Pause between looks at them, seconds.",
             ),
         },
     ),
@@ -126,7 +128,9 @@
                 Number(1, 86400), "600", "Time after which blame lapses, seconds."
             ),
             "suspects": Key(
-                Number(10, 100_000, whole=True), "1000", "Requests suspected at once."
+                Number(10, 100_000, whole=True),
+                "1000",
+                "Requests suspected at once.",
             ),
         },
     ),
@@ -152,12 +156,12 @@
 
 @dataclass(slots=True)
 class Settings:
-    """Checked settings, a value a section and key."""
+    """Validated settings, by section and key."""
 
     values: dict[str, dict[str, Any]]
 
     def get(self, section: str, key: str) -> Any:
-        """Return one checked value."""
+        """Return the value of a key."""
         return self.values[section][key]
 
     @property
@@ -172,12 +176,12 @@
 
 
 def read_settings(file: str, text: str) -> Settings:
-    """Check the text of a settings file.
+    """Parse and validate the text of a settings file.
 
     Raises
     ------
     CheckError
-        With every fault, each naming file, section and key.
+        With all faults; each names its file, section and key.
     """
     settings, faults = inspect_settings(file, text)
     if faults:
@@ -186,14 +190,14 @@
 
 
 def inspect_settings(file: str, text: str) -> tuple[Settings, list[Fault]]:
-    """Read what can be read of a settings file, and find every fault in it."""
+    """Parse as much of a settings file as possible and return all faults found."""
     values, faults = read_sections(file, text, SECTIONS)
     faults += [Fault(file, *fault) for fault in _inconsistent(values)]
     return Settings(values), faults
 
 
 def _inconsistent(values: dict[str, dict[str, Any]]) -> Iterator[tuple[str, str, str]]:
-    """Yield section, key and message where values do not fit each other."""
+    """Yield section, key and message of each value that contradicts another."""
     listen, peers = values["listen"], values["peers"]
     first: dict[str, str] = {}
     for key in ("callers", "administration", "peers"):
--- a/packages/core/src/knapweedbridge_core/timeline.py
+++ b/packages/core/src/knapweedbridge_core/timeline.py
@@ -1,4 +1,4 @@
-"""The bounded ring of events of one daemon, with a hybrid logical clock."""
+"""A ring buffer of the events of a daemon, with a hybrid logical clock."""
 
 from collections import deque
 from dataclasses import dataclass
@@ -7,14 +7,14 @@
 
 @dataclass(slots=True, frozen=True, order=True)
 class Stamp:
-    """Time of an event, comparable over all hosts.
+    """Hybrid logical timestamp of an event, comparable across hosts.
 
     Parameters
     ----------
     wall_us : int
-        Wall clock in microseconds, never running backwards.
+        Wall clock in microseconds, monotonic.
     count : int
-        Orders events of the same microsecond.
+        Orders events in the same microsecond.
     """
 
     wall_us: int
@@ -22,13 +22,13 @@
 
 
 class HybridClock:
-    """Stamps that follow cause and effect over hosts whose clocks differ."""
+    """A hybrid logical clock: stamps respect causality even if wall clocks differ."""
 
     def __init__(self) -> None:
         self._last = Stamp(0, 0)
 
     def next(self, wall_us: int) -> Stamp:
-        """Stamp an event of this host."""
+        """Return the stamp of a local event."""
         if wall_us > self._last.wall_us:
             self._last = Stamp(wall_us, 0)
         else:
@@ -36,7 +36,7 @@
         return self._last
 
     def receive(self, stamp: Stamp, wall_us: int) -> Stamp:
-        """Stamp the arrival of a message, after its sending."""
+        """Return the stamp of a received message, later than that of its sender."""
         if stamp > self._last:
             self._last = stamp
         return self.next(wall_us)
@@ -44,7 +44,7 @@
 
 @dataclass(slots=True, frozen=True)
 class TimelineEvent:
-    """One event of one host."""
+    """An event of a host, with its stamp."""
 
     stamp: Stamp
     host: str
@@ -54,20 +54,20 @@
 
 @dataclass(slots=True, frozen=True)
 class EventFilter:
-    """Which events are wanted; an empty text stands for all.
+    """Selects events; an empty string matches all.
 
     Parameters
     ----------
     request : str
-        Request id; an event of one of its attempts fits too.
+        Request id; matches events of its attempts too.
     adapter : str
-        ``adapter`` for all its versions, or ``adapter@version``.
+        ``adapter`` for all versions of it, or ``adapter@version``.
     endpoint : str
         Name of an endpoint.
     since_us, until_us : int
         Bounds of the wall clock in microseconds, both included.
     limit : int
-        Most events given.
+        Maximum number of events returned.
     """
 
     request: str = ""
@@ -77,27 +77,27 @@
     until_us: int = 1 << 62
     limit: int = 1000
 
-    def fits(self, event: TimelineEvent) -> bool:
-        """Tell whether an event is wanted."""
+    def matches(self, event: TimelineEvent) -> bool:
+        """Return whether an event is selected."""
         fields = event.fields
         return (
             self.since_us <= event.stamp.wall_us <= self.until_us
             and self.endpoint in ("", fields.get("endpoint"))
-            and self._fits_request(fields)
-            and self._fits_adapter(str(fields.get("model", "")))
+            and self._matches_request(fields)
+            and self._matches_adapter(str(fields.get("model", "")))
         )
 
-    def _fits_request(self, fields: dict[str, Any]) -> bool:
+    def _matches_request(self, fields: dict[str, Any]) -> bool:
         if self.request in ("", fields.get("request")):
             return True
         return str(fields.get("attempt", "")).rpartition(".")[0] == self.request
 
-    def _fits_adapter(self, model: str) -> bool:
+    def _matches_adapter(self, model: str) -> bool:
         return self.adapter in ("", model, model.partition("@")[0])
 
 
 class Timeline:
-    """The last events of one host."""
+    """The most recent events of a host, in a ring buffer."""
 
     def __init__(self, host: str, events: int) -> None:
         self.host = host
@@ -105,13 +105,13 @@
         self.clock = HybridClock()
 
     def add(self, kind: str, fields: dict[str, Any], wall_us: int) -> None:
-        """Add an event; the oldest falls out when the ring is full."""
+        """Add an event; a full buffer drops the oldest."""
         stamp = self.clock.next(wall_us)
         self._events.append(TimelineEvent(stamp, self.host, kind, fields))
 
     def __len__(self) -> int:
         return len(self._events)
 
-    def select(self, wanted: EventFilter) -> list[TimelineEvent]:
-        """Return the events that are wanted, the oldest first."""
-        return [event for event in self._events if wanted.fits(event)]
+    def select(self, event_filter: EventFilter) -> list[TimelineEvent]:
+        """Return the events that match the filter, the oldest first."""
+        return [event for event in self._events if event_filter.matches(event)]
--- a/packages/core/src/knapweedbridge_core/times.py
+++ b/packages/core/src/knapweedbridge_core/times.py
@@ -1,47 +1,46 @@
-"""Spans that the owners' safety rests on, in seconds.
+"""Timing constants that the safety of endpoint ownership depends on, in seconds.
 
-Each is a bound that some other part relies on; `docs/design/owners-and-grants.md`
-says which.
+Other modules rely on each bound; `docs/design/owners-and-grants.md` explains how.
 """
 
 LEASE_S = 20.0
-"""Life of a daemon's lease in the service after its last renewal."""
+"""Time to live of a daemon's lease in the key-value service after a renewal."""
 
 RENEW_INTERVAL_S = 7.0
-"""Pause between renewals: 0.14 calls a second a daemon."""
+"""Interval between lease renewals: 0.14 calls per second and daemon."""
 
 RETRY_INTERVAL_S = 1.0
-"""Pause before a failed call is repeated."""
+"""Pause before a failed call is retried."""
 
 CALL_TIMEOUT_S = 5.0
-"""After this a call without a reply is given up."""
+"""Timeout of a call to the key-value service."""
 
 CLOCK_MARGIN_S = 2.0
-"""Most that two clocks drift apart over a lease, a tenth of it."""
+"""Maximum drift between two clocks over a lease, a tenth of its time to live."""
 
 ORDER_TRANSIT_S = 5.0
-"""Longest way of an order from its sending to its effect."""
+"""Maximum time between sending an order to an endpoint and its effect."""
 
 CONTACT_MAX_AGE_S = 6.0
-"""Oldest a daemon's knowledge of who answers may be."""
+"""Maximum age of a daemon's information on which members respond."""
 
 QUARANTINE_S = 120.0
-"""How long a name stays away from an endpoint that a late eviction may reach."""
+"""How long a name is not loaded on an endpoint that a late eviction may still reach."""
 
 GRANT_USE_TIMEOUT_S = 1.0
-"""Longest from the asking for a grant to the start of its request."""
+"""Maximum time between the request for a grant and the start of its request."""
 
 RECONCILE_INTERVAL_S = 10.0
-"""Pause between an owner's questions to a holder about grants it keeps."""
+"""Interval at which an owner asks a holder which grants it still holds."""
 
 SILENCE_TIMEOUT_S = 3.0
-"""A holder that has not answered for this long is looked up in the service."""
+"""A holder silent for this long is looked up in the key-value service."""
 
 WITNESS_TIMEOUT_S = 2.0
-"""An eviction that no witness notes within this time is not ordered."""
+"""Timeout for a witness to acknowledge an eviction; without it none is sent."""
 
 REPORT_MAX_AGE_S = 10.0
-"""Oldest report an owner works with while nothing asks for a newer one."""
+"""Maximum age of an endpoint report that an owner uses if no newer one is needed."""
 
 REFRESH_INTERVAL_S = 5.0
-"""Pause between publications of an endpoint on which nothing changed."""
+"""Interval between publications of the state of an unchanged endpoint."""
