--- a/packages/daemon/src/knapweedbridge_daemon/serving/quota_shares.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/quota_shares.py
@@ -6,7 +6,7 @@
 
 import anyio
 
-from knapweedbridge_core.serving import ClientAccount, QuotaBalance, QuotaResponse
+from knapweedbridge_core.serving import ClientAccount, QuotaBalance, QuotaGrant
 from knapweedbridge_core.serving.messages import QuotaRequest, QuotaResponse
 from knapweedbridge_daemon.serving.dialects import Refusal
 from knapweedbridge_daemon.serving.hub import Hub, Send
@@ -179,7 +179,7 @@
         now_s = anyio.current_time()
         if message.is_known:
             purse.held.answered(
-                keeper, QuotaResponse(message.units, message.wait_s), now_s
+                keeper, QuotaGrant(message.units, message.wait_s), now_s
             )
         else:
             purse.held.unanswered(keeper, now_s)
