--- a/features/listing/steps/removed_entry_steps.py
+++ b/features/listing/steps/removed_entry_steps.py
@@ -23,11 +23,11 @@
 SETTLE_S = 3.0
 FAR_SETTLE_S = 4.0
 CHANGES_PER_S = 5.0
-PLAYED = 9
+SIMULATED = 9
 
 
-class KeptLog:
-    """Keeps what a daemon logs."""
+class RecordedLog:
+    """Records the log lines of a daemon."""
 
     def __init__(self):
         self.lines = []
@@ -40,7 +40,7 @@
 
 
 def relays(records):
-    """Return the names of those that hand the store's changes on."""
+    """Return the names of the relays, which forward the store's changes."""
     cluster = ClusterState()
     for record in records:
         cluster.take(DaemonNamed(record), 0.0)
@@ -51,11 +51,11 @@
     """A pool whose daemons, all or some, cannot reach the store for a while."""
 
     def __init__(self, tasks, daemons, endpoints):
-        # Pauses between failed calls are spread by luck.
+        # The delays between failed calls are random.
         random.seed(daemons)
         records = [DaemonRecord(f"h{n}", 1, "a:1", f"d{n % 2}") for n in range(daemons)]
-        played = {record.name for record in records[:PLAYED]}
-        self.pool = RelayPool(tasks, records, played | relays(records))
+        simulated = {record.name for record in records[:SIMULATED]}
+        self.pool = RelayPool(tasks, records, simulated | relays(records))
         self.store = self.pool.store
         self.endpoints = [f"e{n}" for n in range(endpoints)]
         for name in self.endpoints:
@@ -81,11 +81,11 @@
     context.daemons, context.endpoints = daemons, endpoints
 
 
-async def lines_of_removal(context, away_s):
+async def log_lines_of_removal(context, away_s):
     async with anyio.create_task_group() as tasks:
         outage = Outage(tasks, context.daemons, context.endpoints)
         for daemon in outage.daemons:
-            daemon.hub.log = KeptLog()
+            daemon.hub.log = RecordedLog()
         await anyio.sleep(SETTLED_S)
         if away_s:
             outage.begin()
@@ -111,21 +111,21 @@
     return SideFaces(daemon.hub).gauges()["endpoints_unlisted"]
 
 
-@when("an entry is removed while the store is well")
-def removed_in_peace(context):
-    context.found = run_virtually(lines_of_removal(context, 0.0))
+@when("an entry is removed while the store is healthy")
+def removed_while_healthy(context):
+    context.found = run_virtually(log_lines_of_removal(context, 0.0))
 
 
 @when("an entry is removed during an outage of the store of {away_s:g} s")
 def removed_in_outage(context, away_s):
-    context.found = run_virtually(lines_of_removal(context, away_s))
+    context.found = run_virtually(log_lines_of_removal(context, away_s))
 
 
 @then("each daemon logs once that the endpoint is not listed, in use: {in_use}")
 def logged_once(context, in_use):
     for each in context.found:
-        told = [(line["endpoint"], line["in_use"]) for line in each.lines]
-        assert told == [("e0", in_use == "yes")], told
+        logged = [(line["endpoint"], line["in_use"]) for line in each.lines]
+        assert logged == [("e0", in_use == "yes")], logged
 
 
 @then("it counts {count:d} endpoints in use that are not listed")
@@ -133,31 +133,31 @@
     assert [each.count for each in context.found] == [count] * len(context.found)
 
 
-LOOK_S = 0.02
-WATCHED_S = 6.0
+POLL_S = 0.02
+OBSERVED_S = 6.0
 
 
-def played(count, story, *details):
-    """Play a story from different moments of a daemon's cycle of calls."""
+def run_shifted(count, story, *details):
+    """Run a story from different offsets into a daemon's cycle of calls."""
     return [run_virtually(story(*details, 0.17 * n)) for n in range(count)]
 
 
 async def last_use_s(daemons, endpoint):
-    """Return when an endpoint was last in use, of what is seen for some seconds."""
+    """Return when an endpoint was last in use within `OBSERVED_S`."""
     last_s = float("-inf")
-    until_s = anyio.current_time() + WATCHED_S
+    until_s = anyio.current_time() + OBSERVED_S
     while anyio.current_time() < until_s:
         if any(daemon.uses(endpoint) for daemon in daemons):
             last_s = anyio.current_time()
-        await anyio.sleep(LOOK_S)
+        await anyio.sleep(POLL_S)
     return last_s
 
 
-async def use_after_outage_s(context, away_s, after_s, moment_s):
-    """Return for how long after its entry's removal an endpoint was in use."""
+async def use_after_outage_s(context, away_s, after_s, offset_s):
+    """Return how long an endpoint stayed in use after its entry was removed."""
     async with anyio.create_task_group() as tasks:
         outage = Outage(tasks, context.daemons, context.endpoints)
-        await anyio.sleep(SETTLED_S + moment_s)
+        await anyio.sleep(SETTLED_S + offset_s)
         outage.begin()
         await anyio.sleep(away_s)
         outage.end()
@@ -169,11 +169,11 @@
     return used_s
 
 
-async def use_after_cut_s(context, away_s, after_s, moment_s):
-    """Return for how long after a daemon's cut it used an endpoint that had left."""
+async def use_after_cut_s(context, away_s, after_s, offset_s):
+    """Return how long after its cut a daemon used an endpoint that had left."""
     async with anyio.create_task_group() as tasks:
         outage = Outage(tasks, context.daemons, context.endpoints)
-        await anyio.sleep(SETTLED_S + moment_s)
+        await anyio.sleep(SETTLED_S + offset_s)
         cut = outage.daemons[0]
         outage.store.cut_off.add(cut.name)
         await anyio.sleep(after_s)
@@ -188,18 +188,18 @@
 
 @when(
     "an entry is removed {after_s:g} s after an outage of {away_s:g} s, at each of "
-    "{count:d} moments"
+    "{count:d} offsets"
 )
 def removed_after_outage(context, after_s, away_s, count):
-    context.used_s = played(count, use_after_outage_s, context, away_s, after_s)
+    context.used_s = run_shifted(count, use_after_outage_s, context, away_s, after_s)
 
 
 @when(
     "an entry is removed {after_s:g} s into a cut of one daemon of {away_s:g} s, at "
-    "each of {count:d} moments"
+    "each of {count:d} offsets"
 )
 def removed_in_cut(context, after_s, away_s, count):
-    context.used_s = played(count, use_after_cut_s, context, away_s, after_s)
+    context.used_s = run_shifted(count, use_after_cut_s, context, away_s, after_s)
 
 
 @then("no daemon uses that endpoint {bound_s:g} s after the removal")
@@ -209,7 +209,7 @@
 
 
 def missing(outage, endpoints, since_s):
-    """Return the daemons that do not use all endpoints, with a moment."""
+    """Return the daemons that do not use all endpoints, with the time."""
     return [
         (daemon.name, round(since_s, 2))
         for daemon in outage.daemons
@@ -217,62 +217,62 @@
     ]
 
 
-async def lapse(outage):
+async def expire_all(outage):
     for name in outage.endpoints:
         outage.store.unlist_endpoint(name)
 
 
-async def holes(context, away_s, back_s, moment_s):
-    """Return who did not use which endpoint, and when after the store's return."""
+async def gaps(context, away_s, back_s, offset_s):
+    """Return which daemons missed endpoints, and when after the store's return."""
     found = []
     async with anyio.create_task_group() as tasks:
         outage = Outage(tasks, context.daemons, context.endpoints)
-        await anyio.sleep(SETTLED_S + moment_s)
+        await anyio.sleep(SETTLED_S + offset_s)
         outage.begin()
         await anyio.sleep(away_s - 0.1)
-        await lapse(outage)
+        await expire_all(outage)
         await anyio.sleep(0.1)
         outage.end()
         returned_s = anyio.current_time()
-        while anyio.current_time() < returned_s + WATCHED_S:
+        while anyio.current_time() < returned_s + OBSERVED_S:
             since_s = anyio.current_time() - returned_s
             if since_s >= back_s and outage.endpoints:
                 for name in outage.endpoints:
                     outage.store.list_endpoint(name)
                 outage.endpoints = []
             found += missing(outage, context.endpoints, since_s)
-            await anyio.sleep(LOOK_S)
+            await anyio.sleep(POLL_S)
         tasks.cancel_scope.cancel()
     return found
 
 
 @when(
-    "all entries lapse in an outage of {away_s:g} s and are back {back_s:g} s after it"
+    "all entries expire in an outage of {away_s:g} s and are back {back_s:g} s after it"
 )
-def all_lapse(context, away_s, back_s):
-    found = played(9, holes, context, away_s, back_s)
-    context.holes = list(chain.from_iterable(found))
+def all_expire(context, away_s, back_s):
+    found = run_shifted(9, gaps, context, away_s, back_s)
+    context.gaps = list(chain.from_iterable(found))
 
 
 @when(
-    "all entries lapse in an outage of {away_s:g} s "
+    "all entries expire in an outage of {away_s:g} s "
     "and are back {back_s:g} s after it, with owners"
 )
-def all_lapse_owned(context, away_s, back_s):
-    # Entries of engines that an owner tells of are not handed on for their adapters.
+def all_expire_owned(context, away_s, back_s):
+    # Relays do not forward changes of adapters in entries of engines with an owner.
     with mock.patch.object(Endpoint, "has_recent_update", lambda self, now_s: True):
-        all_lapse(context, away_s, back_s)
+        all_expire(context, away_s, back_s)
 
 
-async def holes_in_second(context, gap_s, away_s, moment_s):
-    """Return who did not use which endpoint, and when in a second outage."""
+async def gaps_in_second(context, gap_s, away_s, offset_s):
+    """Return which daemons missed endpoints, and when in a second outage."""
     found = []
     async with anyio.create_task_group() as tasks:
         outage = Outage(tasks, context.daemons, context.endpoints)
-        await anyio.sleep(SETTLED_S + moment_s)
+        await anyio.sleep(SETTLED_S + offset_s)
         outage.begin()
         await anyio.sleep(6.3)
-        await lapse(outage)
+        await expire_all(outage)
         await anyio.sleep(0.1)
         outage.end()
         await anyio.sleep(gap_s)
@@ -281,26 +281,26 @@
         while anyio.current_time() < began_s + away_s:
             since_s = anyio.current_time() - began_s
             found += missing(outage, context.endpoints, since_s)
-            await anyio.sleep(LOOK_S)
+            await anyio.sleep(POLL_S)
         tasks.cancel_scope.cancel()
     return found
 
 
 @when(
-    "all entries lapse, and the store is away again {gap_s:g} s after its return for "
+    "all entries expire, and the store is away again {gap_s:g} s after its return for "
     "{away_s:g} s"
 )
-def away_again(context, gap_s, away_s):
-    found = played(3, holes_in_second, context, gap_s, away_s)
-    context.holes = list(chain.from_iterable(found))
+def second_outage(context, gap_s, away_s):
+    found = run_shifted(3, gaps_in_second, context, gap_s, away_s)
+    context.gaps = list(chain.from_iterable(found))
 
 
 @then("each daemon uses all endpoints throughout")
-def no_hole(context):
-    assert not context.holes, (len(context.holes), context.holes[:5])
+def no_gap(context):
+    assert not context.gaps, (len(context.gaps), context.gaps[:5])
 
 
 @then('{count:d} random histories of "{mechanism}" break nothing')
-def histories_hold(context, count, mechanism):
+def histories_pass(context, count, mechanism):
     broken = {seed: HISTORIES[mechanism](seed) for seed in range(count)}
     assert not any(broken.values()), {seed: b[:3] for seed, b in broken.items() if b}
--- a/features/versions/observed.feature
+++ b/features/versions/observed.feature
@@ -1,12 +1,12 @@
-Feature: The log tells for how long a version has been superseded
+Feature: Logs and metrics show for how long a version has been superseded
 
-  Scenario Outline: An attempt's line names the version and its age: <story>
+  Scenario Outline: The log line of an attempt has the version and its age: <story>
     Guards against work on an older version that no log line explains.
 
     Given the whole path
     When a call runs on a new adapter <when> a version of it is named
-    Then its line says held version <held>, superseded: <superseded>
-    And the histogram of first events under older versions counts <count>
+    Then its log line has held version <held>, superseded: <superseded>
+    And the histogram of first events on superseded versions counts <count>
 
     Examples:
       | story         | when              | held | superseded | count |
--- a/features/versions/steps/version_steps.py
+++ b/features/versions/steps/version_steps.py
@@ -9,8 +9,8 @@
 CALL_EVERY_S = 0.02
 
 
-async def load_first(path):
-    """Have one engine hold the adapter, and prefer it to the other by its place."""
+async def load_on_one(path):
+    """Load the adapter on one engine, and prefer it by moving the other one away."""
     await draft_until_taken(path, MODEL, 0)
     (holder,) = (each for each in path.engines if each.begun)
     (other,) = (each for each in path.engines if each is not holder)
@@ -20,12 +20,12 @@
     return holder, other
 
 
-async def allow_long(path):
-    """Have a configuration in force in which no route ends a call that waits."""
-    patient = configuration(version=2)
-    for each in patient["routes"]:
+async def set_long_timeouts(path):
+    """Configure timeouts so long that no route ends a queued call."""
+    config = configuration(version=2)
+    for each in config["routes"]:
         each["timeout_ms"] = 20_000
-    path.store.put("op/config", patient)
+    path.store.put("op/config", config)
     await anyio.sleep(0.5)
 
 
@@ -41,8 +41,8 @@
     "{after:g} s"
 )
 @played()
-async def two_named(context, path, after):
-    await load_first(path)
+async def name_two(context, path, after):
+    await load_on_one(path)
     second_s = path.name_version(ADAPTER, 2)
     await call_until(path, second_s + 1)
     await anyio.sleep(second_s + after - anyio.current_time())
@@ -53,14 +53,14 @@
 
 
 @when(
-    'a call on "{route}" is sent {after:g} s after version 2 was named, and waits '
-    "{queue:g} s there"
+    'a call on "{route}" is sent {after:g} s after version 2 was named, and queued '
+    "{queue:g} s"
 )
 @played()
-async def sent_after(context, path, route, after, queue):
-    holder, _ = await load_first(path)
+async def send_call(context, path, route, after, queue):
+    holder, _ = await load_on_one(path)
     holder.queue_s = queue
-    await allow_long(path)
+    await set_long_timeouts(path)
 
     async def call():
         model = {"model": MODEL, "path": f"/{route}/1", "Deadline-Ms": "9000"}
@@ -82,8 +82,8 @@
     "{until:g} s after it"
 )
 @played()
-async def starts_after(context, path, after, until):
-    await load_first(path)
+async def start_late(context, path, after, until):
+    await load_on_one(path)
     named_s = path.name_version(ADAPTER, 2)
     await anyio.sleep(after)
     path.start_daemon("host-1")
@@ -95,14 +95,14 @@
 
 
 @given("the whole path, on a platform that allows older versions for {bound:d} ms")
-def platform_allows(context, bound):
+def allow_older_versions(context, bound):
     context.daemons, context.bounds = 1, {"version_ms": bound}
 
 
-@when("a call comes {after:g} s after version 2 of an adapter was named")
+@when("a call arrives {after:g} s after version 2 of an adapter was named")
 @played()
-async def comes_after(context, path, after):
-    holder, _ = await load_first(path)
+async def call_arrives(context, path, after):
+    holder, _ = await load_on_one(path)
     path.name_version(ADAPTER, 2)
     await anyio.sleep(after)
     await draft_until_taken(path, MODEL, 0)
@@ -111,7 +111,7 @@
 
 
 @then("it begins on version {version:d}")
-def begins_on(context, version):
+def began_on(context, version):
     assert context.version == version, context.version
 
 
@@ -119,7 +119,7 @@
     "no call begins on an older version later than {bound:g} s after its successor "
     "was named"
 )
-def begin_in_time(context, bound):
+def began_in_time(context, bound):
     begun = [each for engine in context.engines for each in engine.begun]
     assert begun, "no call began"
     late = []
@@ -131,5 +131,5 @@
 
 
 @then("the caller gets status {status:d}")
-def caller_gets(context, status):
+def has_status(context, status):
     assert context.answer.status_code == status, context.answer
--- a/packages/core/src/knapweedbridge_core/serving/__init__.py
+++ b/packages/core/src/knapweedbridge_core/serving/__init__.py
@@ -1,7 +1,8 @@
-"""Serving without grants: routes, placement, owners' orders and repeats of calls.
+"""The serving layer's decisions: routing, placement, orders of owners and retries.
 
-A daemon that serves this way sends a call straight to an endpoint that holds its
-model; the endpoint's own checks of instance and version make a mistake harmless.
+A daemon sends a call straight to an endpoint that it believes to hold the model. This
+is safe because the endpoint itself checks the instance and version of each call, which
+makes a mistake harmless.
 """
 
 from knapweedbridge_core.serving.accounts import (
--- a/packages/core/src/knapweedbridge_core/serving/accounts.py
+++ b/packages/core/src/knapweedbridge_core/serving/accounts.py
@@ -1,4 +1,4 @@
-"""Client accounts: whose call it is, by the key that it shows."""
+"""Client accounts, which are identified by the key of a call."""
 
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass
@@ -6,7 +6,7 @@
 
 
 class QuotaUnit(Enum):
-    """What an account's quota counts."""
+    """Unit in which an account's quota is counted."""
 
     CALLS = "calls"
     TOKENS = "tokens"
@@ -14,18 +14,18 @@
 
 @dataclass(slots=True, frozen=True)
 class Quota:
-    """What an account may use, over all daemons together.
+    """Quota of an account, over all daemons together.
 
     Parameters
     ----------
     unit : QuotaUnit
         What is counted.
     rate_per_s : float
-        Units that it may use a second.
+        Units per second.
     burst : float
-        Units that it may use at once besides.
+        Additional units that may be used at once.
     plain_units : int
-        Units of a call that tells no tokens, where tokens are counted.
+        Units of a call without a number of tokens, if tokens are counted.
     """
 
     unit: QuotaUnit
@@ -34,7 +34,7 @@
     plain_units: int = 0
 
     def cost(self, tokens: int | None) -> int:
-        """Return the units of a call with so many tokens; None: it tells none."""
+        """Return the units of a call with a number of tokens; None: it has none."""
         if self.unit is QuotaUnit.CALLS:
             return 1
         return self.plain_units if tokens is None else tokens
@@ -42,18 +42,18 @@
 
 @dataclass(slots=True, frozen=True)
 class ClientAccount:
-    """Whose calls come under some keys, and on what terms.
+    """A client account: its keys, and the priority and quota of its calls.
 
     Parameters
     ----------
     name : str
-        What endpoints know the account by.
+        Name by which endpoints know the account.
     key_digests : tuple of str
-        Digests of its keys; the keys themselves are not kept.
+        Digests of its keys; the keys themselves are not stored.
     urgency : int or None
-        Rank of its calls, which goes before that of their route; None: the route's.
+        Priority of its calls, which overrides that of their route; None: the route's.
     quota : Quota or None
-        None: it has no limit.
+        None: no limit.
     """
 
     name: str
@@ -68,12 +68,12 @@
     Parameters
     ----------
     accounts : iterable of ClientAccount
-        All of them.
+        All accounts.
 
     Raises
     ------
     ValueError
-        If two accounts have one name, or hold one key.
+        If two accounts have the same name or the same key.
     """
 
     __slots__ = ("_by_digest", "_by_name")
@@ -97,12 +97,13 @@
         return iter(self._by_name.values())
 
     def named(self, name: str) -> ClientAccount | None:
-        """Return the account of a name, or None."""
+        """Return the account with a name, or None."""
         return self._by_name.get(name)
 
     def by_key_digest(self, key_digest: str) -> ClientAccount | None:
-        """Return the account that holds a key, or None where none does.
+        """Return the account that holds a key, or None.
 
-        Digests are looked up, so how long it takes tells nothing of a key.
+        Digests are looked up instead of keys, so the duration of a look-up reveals
+        nothing about a key.
         """
         return self._by_digest.get(key_digest)
--- a/packages/core/src/knapweedbridge_core/serving/blame_messages.py
+++ b/packages/core/src/knapweedbridge_core/serving/blame_messages.py
@@ -1,11 +1,11 @@
-"""What daemons notify each other of: calls and parts that endpoints were lost with."""
+"""Messages between daemons about calls, and parts of prompts, that crash endpoints."""
 
 from knapweedbridge_core.codec import message
 
 
 @message
 class CallsBlamed:
-    """An endpoint was lost with these calls; `crashes` says what that means."""
+    """An endpoint was lost while it ran these calls; see `crashes`."""
 
     endpoint: str
     fingerprints: list[str]
@@ -13,23 +13,23 @@
 
 @message
 class CallsCleared:
-    """These calls got whole answers: they crash no endpoint."""
+    """These calls completed, so they do not crash endpoints."""
 
     fingerprints: list[str]
 
 
 @message
 class PartsBlamed:
-    """An endpoint was lost with calls whose answers had not begun; see `crash_parts`.
+    """An endpoint was lost with calls that had no response yet; see `part_ledger`.
 
     Parameters
     ----------
     loss : str
-        What the loss is known by.
+        Identifies the loss.
     calls : list of list of str
-        What each call is known by, and the marks of the parts of its prompt.
+        For each call its identifier, followed by the marks of the parts of its prompt.
     age_s : float
-        For how long the endpoint had been lost.
+        Time since the endpoint was lost.
     """
 
     loss: str
@@ -39,14 +39,14 @@
 
 @message
 class PartsCleared:
-    """An endpoint that stayed began answers on these parts: they crash none."""
+    """An endpoint began to answer these parts and stayed up: they crash none."""
 
     parts: list[str]
 
 
 @message
 class SuspectsHeld:
-    """Calls, or parts of prompts, with a loss that is about to be judged."""
+    """Calls, or parts of prompts, of a loss whose cause is about to be determined."""
 
     fingerprints: list[str]
     parts: list[str]
--- a/packages/core/src/knapweedbridge_core/serving/cluster_state.py
+++ b/packages/core/src/knapweedbridge_core/serving/cluster_state.py
@@ -1,4 +1,4 @@
-"""What a daemon learns from the platform's store, kept whole and never set back."""
+"""A daemon's copy of what the platform's store says, which is never set back."""
 
 import math
 from dataclasses import dataclass, field
@@ -45,10 +45,9 @@
 )
 
 __all__ = [
-    "StoreEvent",
-    "ClusterState",
     "CallAllowed",
     "CallRefused",
+    "ClusterState",
     "DaemonGone",
     "DaemonNamed",
     "DeploymentNamed",
@@ -62,13 +61,14 @@
     "ProtocolNamed",
     "SecretNamed",
     "SoftwareRecorded",
+    "StoreEvent",
     "VersionNamed",
 ]
 
 
 @dataclass(slots=True)
 class ClusterState:
-    """All that one daemon believes of the deployment.
+    """All that one daemon knows of the deployment.
 
     Parameters
     ----------
@@ -77,11 +77,12 @@
     deployment : Deployment or None
         Newest configuration seen; None before the first.
     lost_owners : dict of str to dict
-        By engine and owner, those whose record went without a word.
+        By engine and owner, the owners whose records disappeared without a release.
     owner_changes : int
-        Rises with each change of the daemons, or of the engines' owners.
+        Increases with each change of the daemons or of the engines' owners.
     older_version_s : float
-        How long after a version was acknowledged work may begin on an older one.
+        Time after the acknowledgement of a version during which work may still begin on
+        an older one.
     """
 
     fleet: Fleet = field(default_factory=Fleet)
@@ -105,7 +106,7 @@
 
     @property
     def without_links(self) -> set[str]:
-        """Daemons that have said since their start that they reach no endpoint."""
+        """Daemons that have published since their start that they reach no endpoint."""
         return {
             name
             for name, incarnation in self._links_lost.items()
@@ -114,7 +115,7 @@
 
     @property
     def relays(self) -> dict[str, list[str]]:
-        """The relays of a large pool, by data centre; none in a small one."""
+        """The relays of a large pool, by data centre; empty in a small one."""
         self._rank()
         return self._relays
 
@@ -125,12 +126,12 @@
 
     @property
     def keepers(self) -> dict[str, list[str]]:
-        """The daemons that may keep what a few must know of a call, by data centre."""
+        """The daemons that may keep state of calls for others, by data centre."""
         return self.ranks if self.is_small_pool else self.quota_keepers
 
     @property
     def ranks(self) -> dict[str, list[str]]:
-        """The daemons that duties fall to; another object with each change."""
+        """The daemons to which duties are assigned; a new object after each change."""
         return self._rank()
 
     def _rank(self) -> dict[str, list[str]]:
@@ -143,27 +144,28 @@
 
     @property
     def is_small_pool(self) -> bool:
-        """Whether all daemons hear all.
+        """Whether every daemon watches the store and receives all owners' messages.
 
         When all hosts of a large pool restart at once, few daemons are listed at first.
-        Taken for a small pool, each reads the store itself and tells all to everyone.
+        If the pool then counted as small, each daemon would read the store itself and
+        send its messages to all others.
         """
         was_large = self._large_until_s > -math.inf
         endpoints = self.fleet.endpoints if self._starting else ()
         return not was_large and is_small(self.daemons, endpoints)
 
     def update_clock(self, now_s: float) -> None:
-        """Take the time: a pool that was large long ago counts as small again."""
+        """Update the time; a pool that was large long ago counts as small again."""
         self._first_s = min(self._first_s, now_s)
         self._starting = now_s < self._first_s + STARTING_S
         if now_s >= self._large_until_s:
             self._large_until_s = -math.inf
 
     def relays_for(self, name: str, data_centre: str) -> list[str]:
-        """Name the relays that a daemon can hear, its own first.
+        """Return the relays that a daemon may subscribe to, its own first.
 
-        None where it follows the store itself: in a small pool, as a relay, and while
-        it is not listed, as nobody tells a daemon that is not.
+        Empty if the daemon follows the store itself: in a small pool, as a relay, and
+        while it is not listed, as relays only send to listed daemons.
         """
         able = self.relays.get(data_centre, [])
         if name in able or name not in self.daemons:
@@ -172,10 +174,10 @@
         return sorted(able, key=lambda relay: relay != own)
 
     def fallback_relays(self, name: str, data_centre: str) -> list[str]:
-        """Name the relays to hear for one that follows a store that does not answer it.
+        """Return relays for a daemon that follows the store itself but gets no answer.
 
-        The others of its data centre, and one elsewhere: a store that turns a third of
-        the hosts away turns both relays of a data centre away now and then.
+        These are the others of its data centre and one elsewhere: a store that rejects
+        a third of the hosts rejects both relays of a data centre now and then.
         """
         able = self.relays.get(data_centre, [])
         elsewhere = [each for each in chain(*self.relays.values()) if each not in able]
@@ -189,15 +191,16 @@
         lapsed_until_s: float = -math.inf,
         known_s: float = -math.inf,
     ) -> bool:
-        """Take one thing the store says; tell whether it changed anything.
+        """Apply an event of the store; return whether it changed anything.
 
         Parameters
         ----------
         lapsed_until_s : float
-            Until when a removed entry may be a lapsed one; see `Fleet.unlisted`.
+            Time until which a removed entry may be an expired one; see
+            `Fleet.unlisted`.
         known_s : float
-            Last moment before at which all that the store had acknowledged was known,
-            by a clock that also counts while the host is suspended.
+            Last earlier time at which all that the store had acknowledged was known, by
+            a clock that keeps running while the host is suspended.
         """
         match store_event:
             case DeploymentNamed(deployment):
@@ -244,14 +247,14 @@
             self._links_lost.pop(store_event.name, None)
 
     def protocol_of(self, name: str) -> int:
-        """Return which protocol a daemon speaks, as far as it has said."""
+        """Return the protocol version that a daemon has published, or the first."""
         daemon, said = self.daemons.get(name), self._protocols.get(name)
         if daemon is None or said is None or said.incarnation != daemon.incarnation:
             return FIRST_PROTOCOL
         return said.protocol
 
     def _take_deployment(self, deployment: Deployment) -> bool:
-        # A stale read, or an answer that was overtaken, must not set it back.
+        # A stale read or an overtaken response must not restore an older configuration.
         if self.deployment and deployment.version <= self.deployment.version:
             return False
         self.deployment = deployment
@@ -285,7 +288,7 @@
             endpoint.recent.max_adapters = limits.recent_adapters
         if endpoint is known:
             return before != endpoint.listing
-        # An engine that comes back under its id may have its owner already.
+        # An engine that returns under its old id may already have an owner.
         owner = self.owners.get(record.endpoint)
         endpoint.owner = owner.owner if owner else ""
         return True
@@ -304,8 +307,8 @@
             return
         if known is not None and known.owner and known.owner != record.owner:
             if record.owner:
-                # Claimed over a record that was not given up: its owner was dead.
-                self._note_lost(endpoint, known, now_s)
+                # A record that was claimed without a release: its owner was dead.
+                self._record_lost(endpoint, known, now_s)
             else:
                 self.lost_owners.get(endpoint, {}).pop(known.owner, None)
         self.owners[endpoint] = record
@@ -323,37 +326,37 @@
         if lost is not None:
             self.free_since_s[endpoint] = now_s
             if lost.owner:
-                self._note_lost(endpoint, lost, now_s)
+                self._record_lost(endpoint, lost, now_s)
         if endpoint in self.fleet.endpoints:
             self.fleet.endpoints[endpoint].owner = ""
 
-    def _note_lost(self, endpoint: str, record: OwnerRecord, now_s: float) -> None:
+    def _record_lost(self, endpoint: str, record: OwnerRecord, now_s: float) -> None:
         lost = LostOwner(record, now_s)
         self.lost_owners.setdefault(endpoint, {})[record.owner] = lost
 
     def is_dead(self, record: OwnerRecord) -> bool:
-        """Tell whether an owner's process has surely ended: its host started anew."""
+        """Return whether an owner's process has ended, as its host started again."""
         daemon = self.daemons.get(record.owner)
         return daemon is not None and daemon.incarnation > record.incarnation
 
     def is_ownerless(self, endpoint: str) -> bool:
-        """Tell whether an engine may be claimed."""
+        """Return whether an engine may be claimed."""
         record = self.owners.get(endpoint)
         return record is None or not record.owner or self.is_dead(record)
 
     def silent_predecessors(
         self, endpoint: str, now_s: float, lease_s: float
     ) -> list[LostOwner]:
-        """Return the owners of before that may still give orders.
+        """Return the previous owners of an engine that may still send orders.
 
-        An owner whose record lapsed has stopped by its own clock. But a store that
-        takes keys away at once tells it nothing, while its lease runs on; and its
-        successor may be lost, or hand over, before that has ended.
+        An owner whose record expired has stopped by its own clock. But if the store
+        deletes keys at once, the owner is not notified while its lease still runs. Its
+        successor may also be lost, or release the engine, before that lease has ended.
 
         Parameters
         ----------
         lease_s : float
-            Life of a daemon's lease, in seconds.
+            Time to live of a daemon's lease, in seconds.
         """
         lost = self.lost_owners.pop(endpoint, {})
         able = {
@@ -366,14 +369,14 @@
         return list(able.values())
 
     def newest_version(self, model: ModelRef) -> int | None:
-        """Return the newest version named, or None where none was."""
+        """Return the newest version of a model, or None if none was named."""
         named = self.versions.get(model)
         return named.newest if named else None
 
     def servable_versions(
         self, model: ModelRef, now_s: float
     ) -> ServableVersions | None:
-        """Return which versions may serve a call; None where none was named.
+        """Return which versions may serve a call, or None if none was named.
 
         Parameters
         ----------
@@ -393,12 +396,17 @@
     def superseded_for_s(
         self, model: ModelRef, version: int, now_s: float
     ) -> float | None:
-        """Return for how long a newer version may have been named; None: there is none.
+        """Return the longest time for which a newer version may have been named.
 
         Parameters
         ----------
         now_s : float
             By the clock of ``known_s`` in `take`.
+
+        Returns
+        -------
+        float or None
+            None if there is no newer version.
         """
         named = self.versions.get(model)
         since_s = named.superseded_s(version) if named else None
--- a/packages/core/src/knapweedbridge_core/serving/deployment.py
+++ b/packages/core/src/knapweedbridge_core/serving/deployment.py
@@ -1,4 +1,4 @@
-"""The configuration in force: routes, services and what an engine can hold."""
+"""The configuration in force: routes, services and the limits of engines."""
 
 from dataclasses import dataclass, field, replace
 from enum import Enum
@@ -11,7 +11,7 @@
 
 
 class CallKind(Enum):
-    """What may be repeated of a call."""
+    """How far calls of a route may be retried."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True, frozen=True)
 class WeightedService:
-    """A service that a route sends a share of its calls to."""
+    """A service that receives a share of a route's calls."""
 
     service: str
     weight: float
@@ -28,28 +28,28 @@
 
 @dataclass(slots=True, frozen=True)
 class Route:
-    """Which calls go to which service, and within what bounds.
+    """A rule that sends calls to services within time limits.
 
     Parameters
     ----------
     name : str
         Name of the route.
     host, path_prefix : str
-        Which calls it takes; the longest prefix of a host goes first.
+        Host name and path of the calls that it matches; the longest prefix wins.
     kind : CallKind
-        What may be repeated.
+        How far its calls may be retried.
     services : tuple of WeightedService
-        Where its calls go.
+        Services that receive its calls.
     timeout_s : float
         Longest time a caller may be kept waiting, in seconds.
     objective_s : float
-        Time to the answer, or a stream's first event, in seconds.
+        Target time to the response, or to a stream's first event, in seconds.
     gap_objective_s : float
-        Longest pause between events of a stream, in seconds.
+        Longest acceptable pause between events of a stream, in seconds; 0: no bound.
     urgency : int
-        Rank among calls; 0 goes first.
+        Priority of its calls; 0 is the highest.
     max_attempts : int
-        Most endpoints that one call may run on.
+        Maximum number of endpoints that one call may run on.
     resumable : bool
         Whether a stream may be continued on another endpoint.
     public : bool
@@ -77,13 +77,13 @@
         return self.kind is CallKind.IDEMPOTENT
 
     def for_account(self, account: ClientAccount | None) -> "Route":
-        """Return the route with the rank that an account's calls have on it."""
+        """Return the route with the priority that an account's calls have on it."""
         if account is None or account.urgency in (None, self.urgency):
             return self
         return replace(self, urgency=account.urgency)
 
     def choose_service(self, call_id: str) -> str:
-        """Choose the service of one call; the same for the same call."""
+        """Choose the service of a call by weight; the same for the same call id."""
         if len(self.services) == 1:
             return self.services[0].service
         total = sum(each.weight for each in self.services)
@@ -108,7 +108,7 @@
     load_s : float
         Time to load it from the weight store, in seconds.
     adapters : int
-        How many adapters of it there are.
+        Number of its adapters.
     """
 
     name: str
@@ -119,7 +119,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EngineLimits:
-    """What one model engine of a service can hold and run.
+    """Capacity of one model engine of a service.
 
     Parameters
     ----------
@@ -128,7 +128,7 @@
     cache_tokens : int
         Tokens of running requests and cached prompts together.
     adapter_places : int
-        Adapters held at once, those on their way among them.
+        Adapter slots, which are also taken by adapters that are being loaded.
     weights_mb : float
         Memory for weights.
     loads_per_s : float
@@ -146,13 +146,13 @@
 
     @property
     def recent_adapters(self) -> int:
-        """Adapters that it has in its memory besides those it holds."""
+        """Number of adapters that it keeps in host memory besides those it holds."""
         return RECENT_PER_PLACE * self.adapter_places
 
 
 @dataclass(slots=True, frozen=True)
 class Service:
-    """Endpoints of one kind; ``engine`` is None for plain ones."""
+    """A group of equivalent endpoints; ``engine`` is None for plain endpoints."""
 
     name: str
     health_path: str
@@ -162,7 +162,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestLimits:
-    """What a caller may send, and how long it may take."""
+    """Limits on the size and duration of callers' requests."""
 
     header_bytes: int = 16384
     body_bytes: int = 4 << 20
@@ -172,20 +172,20 @@
 
 @dataclass(slots=True)
 class Deployment:
-    """One version of the configuration, whole.
+    """One complete version of the configuration.
 
     Parameters
     ----------
     version : int
-        Rises with each change.
+        Increases with each change.
     routes : tuple of Route
         All routes.
     services : dict of str to Service
         All services by name.
     limits : RequestLimits
-        Bounds on what callers send.
+        Limits on callers' requests.
     accounts : Accounts or None
-        Client accounts; None where calls need no keys.
+        Client accounts; None if calls need no keys.
     """
 
     version: int
@@ -203,7 +203,7 @@
             routes.sort(key=lambda route: -len(route.path_prefix))
 
     def match(self, host: str, path: str) -> Route | None:
-        """Return the route of a call, or None where no route takes it.
+        """Return the route of a call, or None if no route matches.
 
         Parameters
         ----------
@@ -222,18 +222,19 @@
         return self.accounts.by_key_digest(key_digest) if self.accounts else None
 
     def is_closed_to(self, route: Route, account: ClientAccount | None) -> bool:
-        """Tell whether a route takes no calls of a caller for want of a key."""
+        """Return whether a route rejects a caller that has no valid key."""
         return self.accounts is not None and account is None and not route.public
 
     def engine_limits(self, service: str) -> EngineLimits | None:
-        """Return what engines of a service hold; None for a plain service."""
+        """Return the capacity of a service's engines; None for a plain service."""
         found = self.services.get(service)
         return found.engine if found else None
 
     def longest_pauses_s(self) -> dict[str, float]:
-        """Return, by service, the shortest of the longest pauses its routes accept.
+        """Return the longest pause in a stream that each service may cause.
 
-        A service is missing where none of its routes has streams with such a bound.
+        It is the minimum of ``gap_objective_s`` over the routes of a service. A service
+        without a route that has such a bound is missing.
         """
         found: dict[str, float] = {}
         for route in self.routes:
--- a/packages/core/src/knapweedbridge_core/serving/fleet.py
+++ b/packages/core/src/knapweedbridge_core/serving/fleet.py
@@ -1,4 +1,4 @@
-"""What a daemon believes of all endpoints: who exists, and who may take new work."""
+"""A daemon's view of all endpoints: which exist, and which may take new work."""
 
 from collections.abc import Iterator
 from dataclasses import replace
@@ -13,18 +13,18 @@
 
 
 class Fleet:
-    """All endpoints that this daemon knows of.
+    """All endpoints that this daemon knows.
 
     Attributes
     ----------
     changes : int
-        Rises whenever `endpoints` holds another `Endpoint`, or one less.
+        Increases whenever an `Endpoint` is added to `endpoints`, replaced or removed.
     speeds : ServiceSpeeds
-        What owners publish of the speed of engines.
+        Speeds of engines as published by their owners.
     paced : PacedEngines
-        Those whose streams have shown a pause.
+        Engines whose streams have shown a pause.
     software : SoftwareVersions
-        Versions of their software that the endpoints of each service run.
+        Software versions of the endpoints of each service.
     """
 
     def __init__(self) -> None:
@@ -40,10 +40,11 @@
         self.software = SoftwareVersions()
 
     def listed(self, record: EndpointRecord, now_s: float) -> Endpoint:
-        """Take what the platform says of an endpoint.
+        """Apply an endpoint's entry in the platform's list.
 
-        A word of an earlier start than the known one changes nothing: such words come
-        late. One of a later start, or of another service, makes a new `Endpoint`.
+        An entry of an earlier start than the known one is outdated and changes nothing.
+        One of a later start, another service or another software version creates a new
+        `Endpoint`.
         """
         endpoint = self.endpoints.get(record.endpoint)
         if endpoint is not None and record.start.is_before(endpoint.start):
@@ -52,13 +53,13 @@
             endpoint = self._begin(endpoint, record, now_s)
         started_ms = record.started_ms or endpoint.record.started_ms
         endpoint.record = replace(record, started_ms=started_ms)
-        self._note_address(record)
+        self._record_address(record)
         endpoint.usable = True
         endpoint.record_listed()
         self._lapsed.pop(endpoint.name, None)
         if not endpoint.has_recent_update(now_s):
-            # An owner's word is newer: the list is up to 2 s old, and does not say
-            # when a load is done. Without it the list is all there is.
+            # An owner's messages are more recent: the list is up to 2 s old, and does
+            # not say when a load finishes. Without an owner only the list is known.
             endpoint.bases = set(record.bases)
             endpoint.replace_adapters(
                 {
@@ -68,7 +69,7 @@
             )
         return endpoint
 
-    def _note_address(self, record: EndpointRecord) -> None:
+    def _record_address(self, record: EndpointRecord) -> None:
         before = self._by_address.get(record.address, record.endpoint)
         if before != record.endpoint and before in self.endpoints:
             self._replaced.append(before)
@@ -76,19 +77,19 @@
 
     @property
     def has_losses(self) -> bool:
-        """Whether endpoints were replaced or started again that nobody has taken."""
+        """Whether endpoints were replaced or restarted that have not been popped."""
         return bool(self._replaced or self._restarted)
 
     def pop_replaced(self) -> list[str]:
-        """Return, once, the endpoints at whose addresses others were listed since."""
+        """Return and clear the endpoints whose addresses other endpoints now have."""
         found, self._replaced = self._replaced, []
         return found
 
     def keep_leaving(self, record: EndpointRecord) -> EndpointRecord:
-        """Return a record of an older copy of the list, with a leaving that was heard.
+        """Return a record from an older copy of the list, still draining if it was.
 
-        The copy tells what the endpoint said before. Taken for new, it got calls again
-        that it was about to cut.
+        Such a copy contains an earlier state of the endpoint. If that replaced the
+        draining one, the endpoint would get calls that it is about to cut off.
         """
         known = self.endpoints.get(record.endpoint)
         if known is None or not known.record.leaving:
@@ -98,10 +99,10 @@
     def _begin(
         self, before: Endpoint | None, record: EndpointRecord, now_s: float
     ) -> Endpoint:
-        """Begin anew with an endpoint; what was believed of an earlier start is gone.
+        """Create the `Endpoint` of a new start; discard the state of the previous one.
 
-        The calls of before end at the `Endpoint` of before: their failures and their
-        counts do not touch the new one, which holds and runs nothing yet.
+        Calls on the previous start end at its own `Endpoint`. Their failures and counts
+        do not affect the new one, which holds and runs nothing yet.
         """
         endpoint = Endpoint(record, first_listed_s=now_s)
         self.software.listed(record.service, record.software)
@@ -115,10 +116,10 @@
         return endpoint
 
     def restarted(self, start: EndpointStart, now_s: float) -> bool:
-        """Take that an endpoint tells of itself that it has started again.
+        """Record that an endpoint reports a new start; return whether it is news.
 
-        Its entry in the list follows about a second later; until then its orders and
-        adapters would be believed to be those of the start before.
+        Its entry in the list follows about a second later. Without this, orders and
+        adapters of the previous start would be attributed to it until then.
         """
         known = self.endpoints.get(start.endpoint)
         if known is None or not known.start.is_before(start):
@@ -130,15 +131,15 @@
         return True
 
     def pop_restarted(self) -> list[Endpoint]:
-        """Return, once, the endpoints whose earlier start is over."""
+        """Return and clear the endpoints of previous starts."""
         found, self._restarted = self._restarted, []
         return found
 
     def mark_unreadable(self, name: str) -> bool:
-        """Take that an endpoint's entry cannot be read; tell whether that is new.
+        """Record that an endpoint's entry cannot be parsed; return whether it is news.
 
-        Another writer may have overwritten it. It gets no new work until its own next
-        word, and what it runs goes on.
+        Another writer may have overwritten the entry. The endpoint gets no new work
+        until it writes its entry again; its running calls continue.
         """
         endpoint = self.endpoints.get(name)
         if endpoint is None or not endpoint.usable:
@@ -149,7 +150,7 @@
     def _of_start(
         self, message: EngineTold | EngineChanged, now_s: float
     ) -> Endpoint | None:
-        """Return the endpoint that a telling is about; None for an earlier start."""
+        """Return the endpoint that a message describes; None for an earlier start."""
         known = self.endpoints.get(message.endpoint)
         if known is not None and known.record.started_ms == message.started_ms:
             return known
@@ -159,7 +160,13 @@
         return endpoint if endpoint and endpoint.start.may_be(start) else None
 
     def apply_snapshot(self, message: EngineTold, now_s: float) -> Endpoint | None:
-        """Take all that an owner tells of its engine; None where that is outdated."""
+        """Apply an owner's snapshot of its engine.
+
+        Returns
+        -------
+        Endpoint or None
+            The engine; None if the snapshot is outdated.
+        """
         endpoint = self._of_start(message, now_s)
         if endpoint is None or not endpoint.is_new(message):
             return None
@@ -172,10 +179,10 @@
             }
         )
         endpoint.update_load(message, now_s)
-        self._note_told(endpoint, message, now_s)
+        self._record_speed(endpoint, message, now_s)
         return endpoint
 
-    def _note_told(
+    def _record_speed(
         self, endpoint: Endpoint, message: EngineTold | EngineChanged, now_s: float
     ) -> None:
         self.paced.note(endpoint)
@@ -183,7 +190,7 @@
         self.speeds.take(endpoint, message.speed, engines, now_s)
 
     def build_snapshot(self, endpoint: Endpoint, now_s: float) -> EngineTold:
-        """Return what an owner told of an engine, for those that have not heard it."""
+        """Return an owner's state of an engine, for daemons that have missed it."""
         held = [
             [
                 model.base,
@@ -214,15 +221,15 @@
         )
 
     def has_gap_before(self, message: EngineChanged) -> bool:
-        """Tell whether something before a change was missed."""
+        """Return whether a message before an update was missed."""
         endpoint = self.endpoints.get(message.endpoint)
         if endpoint is None:
             return False
-        told = endpoint.update_number, endpoint.update_order + 1
-        return (message.number, message.order) > told
+        following = endpoint.update_number, endpoint.update_order + 1
+        return (message.number, message.order) > following
 
     def apply_update(self, message: EngineChanged, now_s: float) -> bool:
-        """Take what changed; False where something before it was missed."""
+        """Apply an owner's update; return False if it is not the next one."""
         endpoint = self._of_start(message, now_s)
         if endpoint is None or not endpoint.is_next(message):
             return False
@@ -231,17 +238,17 @@
         for base, adapter, version, ready_in_s in message.added:
             endpoint.add_adapter(ModelRef(base, adapter), version, now_s, ready_in_s)
         endpoint.update_load(message, now_s)
-        self._note_told(endpoint, message, now_s)
+        self._record_speed(endpoint, message, now_s)
         return True
 
     def unlisted(self, name: str, now_s: float, lapsed_until_s: float) -> None:
-        """Take that an endpoint is gone from the list.
+        """Record that an endpoint's entry is gone from the list.
 
         Parameters
         ----------
         lapsed_until_s : float
-            Until when the entry may be one that lapsed in an outage of the store,
-            while its endpoint lives; in the past where it was surely removed.
+            Time until which the entry may have expired in an outage of the store while
+            the endpoint is alive; in the past if the entry was certainly removed.
         """
         endpoint = self.endpoints.get(name)
         if endpoint is None:
@@ -253,48 +260,48 @@
         self._drop(endpoint, now_s)
 
     def lapse_ends_s(self, now_s: float) -> float | None:
-        """Return when the next lapsed endpoint goes out of use; None without any."""
+        """Return when the next endpoint with an expired entry goes out of use."""
         ends = (each.lapsed_until_s for each in self._lapsed.values())
         return min((end_s for end_s in ends if end_s > now_s), default=None)
 
     def extend_lapses(self, until_s: float, now_s: float) -> None:
-        """Keep endpoints whose entries may have lapsed in use until a moment."""
+        """Keep endpoints whose entries may have expired in use until a moment."""
         for each in self._lapsed.values():
             if each.lapsed_until_s > now_s:
                 each.lapsed_until_s = max(each.lapsed_until_s, until_s)
 
     def end_lapses(self, at_s: float) -> None:
-        """Let no lapse last beyond a moment."""
+        """Keep no endpoint with an expired entry in use beyond a moment."""
         for each in self._lapsed.values():
             each.lapsed_until_s = min(each.lapsed_until_s, at_s)
 
     def unlisted_count(self) -> int:
-        """Return how many endpoints are in use that are not listed."""
+        """Return the number of endpoints in use that are not listed."""
         return len(self._lapsed)
 
     def limited_count(self) -> int:
-        """Return how many endpoints name a limit of calls a second."""
+        """Return the number of endpoints that name a limit of calls per second."""
         return sum(each.pressure.is_limited for each in self.endpoints.values())
 
     def brittle_count(self) -> int:
-        """Return how many endpoints say that they are brittle."""
+        """Return the number of endpoints that report that they are brittle."""
         return sum(each.pressure.is_brittle for each in self.endpoints.values())
 
     def leaving_count(self) -> int:
-        """Return how many listed endpoints have said in an answer that they leave."""
+        """Return how many listed endpoints have responded that they are draining."""
         return sum(each.pressure.leaves for each in self.endpoints.values())
 
     def resting_count(self, now_s: float) -> int:
-        """Return how many endpoints want nothing from this daemon now."""
+        """Return the number of endpoints that want no calls of this daemon now."""
         endings = (each.pressure.paused_until_s for each in self.endpoints.values())
         return sum(until_s > now_s for until_s in endings)
 
     def unreachable_count(self, now_s: float) -> int:
-        """Return how many endpoints this daemon backs off from now."""
+        """Return the number of endpoints that this daemon backs off from now."""
         return sum(each.suspect_until_s > now_s for each in self.endpoints.values())
 
     def forget_unlisted(self, now_s: float) -> list[str]:
-        """Drop endpoints that did not come back to the list, and name them."""
+        """Drop endpoints that were not listed again in time, and return their names."""
         gone = [
             endpoint
             for endpoint in self._lapsed.values()
@@ -324,7 +331,10 @@
         ]
 
     def open_endpoints(self, service: str, now_s: float) -> list[Endpoint]:
-        """Return those of them that may be sent a call now, by what they ask for."""
+        """Return the endpoints of a service that accept a call now.
+
+        These may take new work and have not asked for a pause that still lasts.
+        """
         return [
             endpoint
             for endpoint in self.of_service(service, now_s)
@@ -332,7 +342,7 @@
         ]
 
     def reachable(self, service: str, now_s: float) -> list[Endpoint]:
-        """Return those that may be sent a call and are not backed off from."""
+        """Return the open endpoints of a service that are not backed off from."""
         return [
             endpoint
             for endpoint in self._by_service.get(service, {}).values()
@@ -342,7 +352,13 @@
         ]
 
     def reopens_at_s(self, service: str, now_s: float) -> float | None:
-        """Return when one may be sent a call, where all ask for a pause; else None."""
+        """Return when the first endpoint of a service accepts a call again.
+
+        Returns
+        -------
+        float or None
+            None unless all endpoints of the service ask for a pause now.
+        """
         endpoints = self.of_service(service, now_s)
         first_s = min(
             (each.pressure.closed_until_s for each in endpoints), default=None
@@ -352,12 +368,12 @@
     def estimate_load(
         self, engines: list[Endpoint], daemons: int, small: bool, now_s: float
     ) -> None:
-        """Take a load for the engines of which no owner tells.
+        """Set an estimated load on the engines whose owners are not heard.
 
         Parameters
         ----------
         small : bool
-            Whether this daemon hears of every engine that has an owner.
+            Whether this daemon receives the messages of all owners.
         """
         for each in engines:
             each.expire_speed(now_s)
@@ -365,17 +381,18 @@
             for each in engines:
                 each.estimate_others(daemons, now_s)
         else:
-            self._assume_typical(engines, daemons, now_s)
+            self._assume_mean_load(engines, daemons, now_s)
 
-    def _assume_typical(
+    def _assume_mean_load(
         self, engines: list[Endpoint], daemons: int, now_s: float
     ) -> None:
-        """Take engines that this daemon hears nothing of to run as much as others.
+        """Assume that engines without news run the mean load of the pool.
 
-        Taken for idle, each would get the next call of every daemon at once. What
-        the engines in use run is no measure: a daemon uses the busy ones most. Taken
-        for as busy as those, idle engines made a third of the callers be refused. So
-        the pool's calls are this daemon's own times the daemons, on all engines alike.
+        If they counted as idle, each would get the next call of every daemon at once.
+        The load of the engines in use is no measure, as a daemon uses the busy ones
+        most: with it, a third of the callers were rejected beside idle engines. So the
+        pool's calls are estimated as this daemon's own times the number of daemons,
+        spread evenly over all engines.
         """
         unheard = [each for each in engines if not each.has_recent_update(now_s)]
         if not unheard:
@@ -387,12 +404,12 @@
             each.others_calls, each.others_unread_tokens = calls, tokens
 
     def engines(self) -> Iterator[Endpoint]:
-        """Iterate over all endpoints, those that leave too."""
+        """Iterate over all endpoints, including those that are draining."""
         return iter(self.endpoints.values())
 
 
 def _is_another(known: EndpointRecord, record: EndpointRecord) -> bool:
-    """Return whether a record is of another start, service or software version."""
+    """Return whether a record has another start, service or software version."""
     before = known.service, known.software
     after = record.service, record.software
     return known.start.is_before(record.start) or before != after
--- a/packages/core/src/knapweedbridge_core/serving/messages.py
+++ b/packages/core/src/knapweedbridge_core/serving/messages.py
@@ -1,4 +1,4 @@
-"""What daemons tell each other of engines."""
+"""Messages between daemons about model engines, the store's state and quotas."""
 
 from dataclasses import field
 
@@ -7,16 +7,16 @@
 
 @message(tag="AdapterWanted")
 class AdapterLoadRequest:
-    """A daemon asks an engine's owner to load an adapter.
+    """A daemon requests that an engine's owner load an adapter.
 
     Parameters
     ----------
     endpoint : str
         The engine.
     base, adapter : str
-        What to load.
+        Base model and adapter to load.
     version : int
-        Oldest version that will do; 0: any.
+        Minimum version; 0: any.
     """
 
     endpoint: str
@@ -27,7 +27,7 @@
 
 @message(tag="AdapterMissed")
 class AdapterMissing:
-    """An engine refused a call, as it does not hold the adapter that it should."""
+    """An engine rejected a call because it does not hold the expected adapter."""
 
     endpoint: str
     base: str
@@ -36,26 +36,27 @@
 
 @message(tag="CallsRunning")
 class CallsReport:
-    """All calls of a daemon on one engine; this replaces what it said before.
+    """All calls that a daemon runs on one engine; replaces its previous report.
 
     Parameters
     ----------
     endpoint : str
         The engine.
     calls : dict of str to int
-        Calls by model, ``BASE/ADAPTER`` or ``BASE``.
+        Number of calls by model, ``BASE/ADAPTER`` or ``BASE``.
     unread_tokens : int
-        Tokens of the prompts whose first event has not come yet.
+        Tokens of the prompts that have not yielded a first event yet.
     started_ms : int
-        The engine's start that they run on, as in `EndpointRecord`.
+        Start of the engine that the calls run on, as in `EndpointRecord`.
     pause_s : float
-        Longest pause between two events of a stream there since the last telling.
+        Longest pause between two events of a stream since the previous report.
     sent_tokens : list of int
-        Lengths of the prompts that were sent there without a turn since then.
+        Lengths of the prompts sent without a turn since the previous report.
     first_events : list of [prompt_tokens, unread_tokens, took_s]
-        Times to first events since then, 8 at most.
+        Times to first event since the previous report, 8 at most.
     gaps : list of float
-        Number and sum of the pauses between events since then; empty: none.
+        Count and sum of the pauses between events since the previous report; empty:
+        none.
     """
 
     endpoint: str
@@ -70,16 +71,16 @@
 
 @message(tag="TurnAsked")
 class TurnRequest:
-    """A daemon asks an engine's owner when it may send a prompt.
+    """A daemon asks an engine's owner for permission to send a prompt.
 
     Parameters
     ----------
     ticket : int
-        What the daemon knows the prompt by.
+        Identifies the prompt at the daemon.
     tokens : int
-        Its length.
+        Length of the prompt.
     urgency : int
-        Rank among calls; 0 goes first.
+        Priority of the call; 0 is the highest.
     """
 
     endpoint: str
@@ -90,7 +91,7 @@
 
 @message(tag="TurnsGiven")
 class TurnGrant:
-    """An owner lets a daemon send some prompts."""
+    """An owner permits a daemon to send the prompts with these tickets."""
 
     endpoint: str
     tickets: list[int]
@@ -98,46 +99,48 @@
 
 @message
 class EngineTold:
-    """An owner tells all of its engine; this replaces what it said before.
+    """Snapshot of an engine by its owner; replaces all earlier ones.
 
     Parameters
     ----------
     endpoint : str
         The engine.
     number : int
-        The owner's fencing number; a lower one is of an owner of before.
+        The owner's fencing number; messages of an earlier owner have a lower one.
     order : int
-        Rises by one with each telling of one owner.
+        Sequence number; increases by one with each message of one owner.
     held : list of [base, adapter, version, ready_in_s, users, idle_s]
-        Adapters that are there, or will be after some seconds, the calls on each, and
-        for how long none has begun or ended.
+        Adapters that are loaded, or will be in ``ready_in_s`` seconds, with the number
+        of calls on each and the time since one last started or ended.
     others_calls, others_unread_tokens : int
-        Calls of other daemons than the one that is told, and the tokens of their
-        prompts that the engine has yet to read.
+        Calls of daemons other than the receiver, and the tokens of their prompts that
+        the engine has yet to read.
     places_free : int
-        Places that a new adapter could get now.
+        Adapter slots that are free for a new adapter.
     wants : int
-        Adapters that daemons wait for there.
+        Adapters that daemons are waiting for on this engine.
     bases : list of str
-        Base models that it holds.
+        Base models that the engine holds.
     cold_s : float
-        How long a load from the weight store takes, as far as the owner knows.
+        Time to load from the weight store, as estimated by the owner.
     started_ms : int
-        The engine's start that this is about, as in `EndpointRecord`.
+        Start of the engine that this describes, as in `EndpointRecord`.
     long_prompts_per_s : float
-        Prompts that pause its streams for longer than they accept, of late.
+        Recent rate of prompts that pause the engine's streams for longer than the
+        streams accept.
     pace_tokens : float
-        Tokens of prompts that pass within the longest pause which its streams accept.
+        Prompt tokens that the engine reads within the longest pause that its streams
+        accept.
     pace_scale : float
-        That as a part of what its reading allows, where pauses have shown it; else 0.
+        ``pace_tokens`` as a share of what the reading speed allows, once pauses have
+        been measured; otherwise 0.
     loads_at_once : float
-        Loads that the weight store was seen to serve at full speed.
+        Concurrent loads that the weight store was observed to serve at full speed.
     of_all : bool
-        Whether the calls and tokens are those of all daemons, the one that is told
-        among them: so it is where one telling goes to many.
+        Whether calls and tokens count all daemons including the receiver, as in a
+        message that is sent to many.
     speed : float
-        Times that the engine takes as long as the usual one of its service, as its
-        owner has learnt; 0.0: unknown.
+        Learned slowdown relative to a typical engine of the service; 0.0: unknown.
     """
 
     endpoint: str
@@ -161,14 +164,14 @@
 
 @message
 class EngineChanged:
-    """What changed since the owner's last telling; fields as in `EngineTold`.
+    """Update of the owner's previous message; fields as in `EngineTold`.
 
     Parameters
     ----------
     added : list of [base, adapter, version, ready_in_s]
-        Adapters that were loaded or are on their way.
+        Adapters that were loaded or are being loaded.
     removed : list of [base, adapter]
-        Adapters that are gone.
+        Adapters that were evicted.
     """
 
     endpoint: str
@@ -191,7 +194,7 @@
 
 @message(tag="OwnerAnswered")
 class OwnerAck:
-    """An owner has heard a daemon's wish; nothing else changed."""
+    """An owner acknowledges a daemon's request that changed nothing else."""
 
     endpoint: str
     number: int
@@ -199,14 +202,14 @@
 
 @message(tag="EngineAsked")
 class EngineSnapshotRequest:
-    """A daemon missed a telling, and asks for all."""
+    """A daemon missed an update and requests a full snapshot."""
 
     endpoint: str
 
 
 @message(tag="OwnershipTaken")
 class OwnershipClaimed:
-    """A daemon that claimed an engine asks the owner before to stop ordering it."""
+    """The daemon that claimed an engine asks the previous owner to stop its orders."""
 
     endpoint: str
     number: int
@@ -214,7 +217,7 @@
 
 @message(tag="OwnershipEnded")
 class OwnershipReleased:
-    """The owner before gives no more orders to an engine."""
+    """The previous owner confirms that it sends no more orders to an engine."""
 
     endpoint: str
     number: int
@@ -222,19 +225,20 @@
 
 @message(tag="StoreTold")
 class StoreUpdate:
-    """A relay hands on what it heard of the store and of the engines.
+    """A relay forwards changes of the store and of the engines.
 
     Parameters
     ----------
     since, revision : int
-        The changes after the first revision, up to the second; 0: the relay has not
-        heard of the store lately.
+        The update covers the changes after the first revision up to the second; 0: the
+        relay has not heard from the store recently.
     items : bytes
-        What changed, packed by the daemon's `store_telling`.
+        Changed items, packed by the daemon's `store_telling`.
     engines : bytes
-        What owners told of their engines, packed by the same.
+        Owners' messages about their engines, packed likewise.
     mark_s : float
-        Newest mark of the hearer that the revision covers, see `store_age`; 0.0: none.
+        Newest mark of the subscriber that the revision covers, see `store_age`; 0.0:
+        none.
     """
 
     since: int
@@ -246,23 +250,24 @@
 
 @message(tag="StoreMarked")
 class StoreMark:
-    """A hearer marks a moment of its own clock at its relay; see `store_age`."""
+    """A subscriber sends its relay a timestamp of its own clock; see `store_age`."""
 
     mark_s: float
 
 
 @message(tag="RelayAsked")
 class RelayRequest:
-    """A daemon asks a relay of its data centre for what it has missed.
+    """A daemon asks a relay of its data centre for the changes that it has missed.
 
-    From then on, for some seconds, it hears that relay whichever is its own.
+    For some seconds from then on it subscribes to that relay, even if another one is
+    its own.
 
     Parameters
     ----------
     engines : bool
-        Whether it asks for all that the relay knows of engines.
+        Whether to send all that the relay knows of engines.
     revision : int
-        The store's revision after which it has missed changes; 0: it has missed none.
+        Store revision after which the daemon has missed changes; 0: it has missed none.
     """
 
     engines: bool = True
@@ -271,15 +276,15 @@
 
 @message(tag="ShareAsked")
 class QuotaRequest:
-    """A daemon asks a keeper of an account's quota for units of its part.
+    """A daemon requests units of an account's quota from a keeper of a part of it.
 
     Parameters
     ----------
     account : str
         The client account.
     needed, others, ahead : int
-        Units of the first call that waits, of those behind it, and for calls that are
-        still to come.
+        Units for the first waiting call, for the calls queued behind it, and for calls
+        that are still expected.
     """
 
     account: str
@@ -290,18 +295,18 @@
 
 @message(tag="ShareGiven")
 class QuotaResponse:
-    """A keeper gives units of its part, or says after how long it may.
+    """A keeper grants units of its part of a quota, or says when to ask again.
 
     Parameters
     ----------
     account : str
         The client account.
     units : int
-        What the asker may use.
+        Units granted.
     wait_s : float
-        After how long more may be there; 0.0: all that was asked for was given.
+        Time until more may be available; 0.0: the request was granted in full.
     is_known : bool
-        Whether the keeper can tell what is left of its part.
+        Whether the keeper knows how much of its part is left.
     """
 
     account: str
--- a/packages/core/src/knapweedbridge_core/serving/model_ref.py
+++ b/packages/core/src/knapweedbridge_core/serving/model_ref.py
@@ -1,4 +1,4 @@
-"""What a call runs on: a base model, or an adapter of one."""
+"""Reference to the model of a call: a base model or one of its adapters."""
 
 from dataclasses import dataclass
 
@@ -15,6 +15,6 @@
 
 
 def parse_model(text: str) -> ModelRef:
-    """Read ``BASE`` or ``BASE/ADAPTER``."""
+    """Parse ``BASE`` or ``BASE/ADAPTER``."""
     base, _, adapter = text.partition("/")
     return ModelRef(base, adapter)
--- a/packages/core/src/knapweedbridge_core/serving/named_versions.py
+++ b/packages/core/src/knapweedbridge_core/serving/named_versions.py
@@ -1,8 +1,8 @@
-"""The versions of one model that operators have named, one by one or in series.
+"""The versions of a model that operators have named in the platform's store.
 
-When the store acknowledged a version is not known here, only up to when it surely had
-not. So a version counts as named from the last moment before it was heard of at which
-all that the store had acknowledged was known.
+A daemon does not know when the store acknowledged a version, only the last moment
+before it learned of the version at which it knew all that the store had acknowledged.
+The version counts as named from that moment, which is the earliest possible one.
 """
 
 import math
@@ -10,18 +10,18 @@
 from dataclasses import dataclass
 
 MOST_KEPT = 16
-"""Versions of one model that are told apart; those before count as one."""
+"""Versions of one model that are kept apart; older ones are merged into one."""
 
 BEGIN_MARGIN_S = 1.25
-"""Time left beside the forecast of a first token: a prompt waits for its turn for
-0.53 s at most, forecasts are exceeded by some tenths, and an attempt that has not begun
-is given up 0.25 s before the bound."""
+"""Margin added to the forecast of a first token: a prompt waits up to 0.53 s for its
+turn, forecasts are exceeded by some tenths of a second, and an attempt that has not
+begun is cancelled 0.25 s before the bound."""
 
 
 class NamedVersions:
-    """The versions of one model, by when each may have been named.
+    """The versions of one model, with the earliest time each may have been named at.
 
-    Times are of a clock that also counts while the host is suspended, in seconds.
+    Times are in seconds of a clock that keeps running while the host is suspended.
     """
 
     __slots__ = ("_namings",)
@@ -35,12 +35,12 @@
         return self._namings[-1][0] if self._namings else 0
 
     def take(self, version: int, named_s: float) -> bool:
-        """Take that a version was heard of; tell whether it is newer than all before.
+        """Record a version and return whether it is newer than all known ones.
 
         Parameters
         ----------
         named_s : float
-            Earliest moment at which the store may have acknowledged it.
+            Earliest time at which the store may have acknowledged it.
         """
         if version <= self.newest:
             return False
@@ -52,7 +52,13 @@
         return True
 
     def superseded_s(self, version: int) -> float | None:
-        """Return when the first newer version than one may have been named, or None."""
+        """Return the earliest time at which a newer version may have been named.
+
+        Returns
+        -------
+        float or None
+            None if there is no newer version.
+        """
         return next((at_s for newer, at_s in self._namings if newer > version), None)
 
     def begins_until_s(self, version: int, bound_s: float) -> float:
@@ -68,11 +74,12 @@
     Parameters
     ----------
     named : NamedVersions
-        Those that were named.
+        The versions that were named.
     now_s : float
-        By the clock of ``named``.
+        Current time by the clock of ``named``.
     bound_s : float
-        How long after a version was acknowledged work may begin on an older one.
+        Time after the acknowledgement of a version during which work may still begin
+        on an older one.
     """
 
     named: NamedVersions
@@ -85,7 +92,7 @@
         return self.named.newest
 
     def serves(self, version: int, begins_in_s: float) -> bool:
-        """Tell whether a call may be sent to run on a version.
+        """Return whether a call may be sent to run on a version.
 
         Parameters
         ----------
--- a/packages/core/src/knapweedbridge_core/serving/origin_messages.py
+++ b/packages/core/src/knapweedbridge_core/serving/origin_messages.py
@@ -1,4 +1,4 @@
-"""What daemons tell each other of the software versions that began streams."""
+"""Messages between daemons about the software versions that began streams."""
 
 from knapweedbridge_core.codec import message
 
@@ -10,8 +10,8 @@
     Parameters
     ----------
     rows : list of list
-        Of each stream its id, service, software version, and the time until the last
-        attempt of its caller is over, in seconds.
+        For each stream its id, service, software version, and the time until its
+        caller's last attempt is over, in seconds.
     """
 
     rows: list
@@ -26,11 +26,11 @@
     stream : str
         Id of the stream.
     service : str
-        Service that the asking daemon would resume it at.
+        Service on which the requesting daemon would resume the stream.
     age_s : float
-        The most time that can have passed since the stream began, in seconds.
+        Maximum time since the stream began, in seconds.
     ticket : int
-        What the daemon knows its question by.
+        Identifies the request at the requesting daemon.
     """
 
     stream: str
@@ -41,20 +41,20 @@
 
 @message(tag="OriginAnswered")
 class OriginResponse:
-    """A keeper answers the question for a stream's origin.
+    """A keeper answers a request for a stream's origin.
 
     Parameters
     ----------
     ticket : int
-        As in the question.
+        Ticket of the request.
     service : str
-        Service that the stream began at; empty where the keeper does not know.
+        Service on which the stream began; empty if the keeper does not know.
     software : str or None
-        Version that began it; None where the keeper does not know.
+        Version that began the stream; None if the keeper does not know.
     left_s : float
-        Time until the last attempt of its caller is over, in seconds.
+        Time until its caller's last attempt is over, in seconds.
     versions : list of str
-        Versions of the asked service that streams may have begun on.
+        Versions of the requested service on which streams may have begun.
     is_current : bool
         Whether the keeper knows all versions since the stream began.
     """
--- a/packages/core/src/knapweedbridge_core/serving/ownership.py
+++ b/packages/core/src/knapweedbridge_core/serving/ownership.py
@@ -1,9 +1,10 @@
-"""Which daemon may give orders to which engine.
+"""Which daemon may send orders to which engine.
 
-Only the owner of an engine orders it. Ownership is a record in the platform's store
-that hangs on the owner's lease; the record's revision is the fencing number, which
-therefore rises with every owner. An owner stops ordering before its lease can have
-lapsed by its own clock, so a successor that claims a lapsed record never meets it.
+Only the owner of an engine sends it orders. Ownership is a record in the platform's
+store that is attached to the owner's lease. The record's revision is the fencing
+number, which therefore increases with every owner. An owner stops sending orders before
+its lease can have expired by its own clock, so its orders never overlap with those of a
+successor that claims an expired record.
 """
 
 from collections.abc import Iterable
@@ -12,30 +13,30 @@
 from knapweedbridge_core.rendezvous import score
 
 ORDER_MARGIN_S = 0.6
-"""Time before the end of a lease at which its owner stops ordering: an order is on
-its way for at most the order's timeout, which is less than this."""
+"""Time before the end of a lease at which its owner stops sending orders. An order is
+in flight for at most the timeout of orders, which is shorter."""
 
-NEXT_CLAIMANT_S = 0.5
-"""Pause after which the next daemon in order claims a record that the one before it
-has not: that one may be down, or cut off from the store."""
+CLAIM_INTERVAL_S = 0.5
+"""Time after which the next daemon in order claims a record that the one before it has
+not claimed: that one may be down, or cut off from the store."""
 
 
 @dataclass(slots=True, frozen=True)
 class DaemonRecord:
-    """A daemon as it lists itself.
+    """A daemon's own entry in the store.
 
     Parameters
     ----------
     name : str
         Name of its host.
     incarnation : int
-        Number that rises with each start.
+        Number that increases with each start.
     address : str
-        Where it listens for peers.
+        Address on which it listens for peers.
     data_centre : str
-        Where it stands.
+        Data centre of its host.
     draining : bool
-        Whether it is about to end.
+        Whether it is about to stop.
     """
 
     name: str
@@ -47,12 +48,12 @@
 
 @dataclass(slots=True, frozen=True)
 class OwnerRecord:
-    """Who owns an engine.
+    """The owner of an engine.
 
     Parameters
     ----------
     owner : str
-        Name of the daemon; empty where the owner before handed it over.
+        Name of the daemon; empty if the previous owner released the engine.
     incarnation : int
         The owner's start.
     number : int
@@ -66,14 +67,14 @@
 
 @dataclass(slots=True, frozen=True)
 class LostOwner:
-    """An owner whose record went without a word of its own.
+    """An owner whose record disappeared without a release.
 
     Parameters
     ----------
     record : OwnerRecord
-        The record that went.
+        The record that disappeared.
     lost_s : float
-        When that was heard; its lease was renewed before.
+        When this daemon learned of it; the lease was last renewed before.
     """
 
     record: OwnerRecord
@@ -87,32 +88,33 @@
     Parameters
     ----------
     ends_s : float
-        Earliest time at which the store may end the lease, by a clock that also
-        counts while the host is suspended. 0: there is no lease.
+        Earliest time at which the store may end the lease, by a clock that keeps
+        running while the host is suspended. 0: there is no lease.
     """
 
     ends_s: float = 0.0
 
     def record_renewal(self, sent_s: float, ttl_s: float) -> None:
-        """Take that a renewal sent at a time was accepted."""
-        # The store counts from the call's arrival, which is after its sending.
+        """Record that the store accepted a renewal that was sent at ``sent_s``."""
+        # The store counts from the arrival of the call, which is after its sending.
         self.ends_s = max(self.ends_s, sent_s + ttl_s)
 
     def record_loss(self) -> None:
-        """Take that the lease is gone."""
+        """Record that the lease is lost."""
         self.ends_s = 0.0
 
     def may_order(self, now_s: float) -> bool:
-        """Tell whether an order sent now arrives under the lease."""
+        """Return whether an order that is sent now arrives under the lease."""
         return now_s < self.ends_s - ORDER_MARGIN_S
 
 
 def claimants(
     endpoint: str, data_centre: str, daemons: Iterable[DaemonRecord]
 ) -> list[str]:
-    """Order the daemons by who should own an engine, the first first.
+    """Return the daemons in the order in which they should claim an engine.
 
-    Daemons of the engine's data centre go first: reports and orders then stay in it.
+    Daemons of the engine's data centre come first, which keeps reports and orders
+    inside it.
     """
     able = [each for each in daemons if not each.draining]
     able.sort(
@@ -133,25 +135,26 @@
     daemons: Iterable[DaemonRecord],
     free_for_s: float,
 ) -> bool:
-    """Tell whether a daemon's turn to claim a free engine has come.
+    """Return whether it is a daemon's turn to claim a free engine.
 
-    It has if no more daemons come before it in `claimants` than turns have passed.
-    Those are counted only until they are too many, and only those of its own rank are
-    hashed. To sort 195 daemons for each of 62 free engines takes 31 ms, which every
-    daemon spent at each look while engines had no owners; this takes 0.5 to 0.9 ms.
+    This holds if the daemons before it in `claimants` are no more than the intervals
+    that have passed. Counting stops as soon as they are too many, and only daemons of
+    the same rank are hashed: sorting 195 daemons for each of 62 free engines takes 31
+    ms, which every daemon would spend on each check while engines have no owners; this
+    takes 0.5 to 0.9 ms.
 
     Parameters
     ----------
     own : DaemonRecord
-        The daemon that asks.
+        The daemon.
     endpoint, data_centre : str
-        The engine, and where it stands.
+        The engine and its data centre.
     free_for_s : float
-        How long its record has been free.
+        Time for which its record has been free.
     """
     if own.draining or free_for_s < 0:
         return False
-    turns = int(free_for_s / NEXT_CLAIMANT_S)
+    turns = int(free_for_s / CLAIM_INTERVAL_S)
     is_near = own.data_centre == data_centre
     own_key = score(endpoint, own.name), own.name
     before = 0
@@ -174,12 +177,12 @@
     Parameters
     ----------
     own_name : str
-        This daemon.
+        Name of this daemon.
     order : list of str
-        From `claimants`.
+        Daemons as returned by `claimants`.
     free_since_s : float
-        When the record was seen to be free.
+        When the record was first seen to be free.
     """
     if own_name not in order:
         return None
-    return free_since_s + NEXT_CLAIMANT_S * order.index(own_name)
+    return free_since_s + CLAIM_INTERVAL_S * order.index(own_name)
--- a/packages/core/src/knapweedbridge_core/serving/permit_messages.py
+++ b/packages/core/src/knapweedbridge_core/serving/permit_messages.py
@@ -1,22 +1,26 @@
-"""What daemons tell each other of the limits that endpoints name, and of permits."""
+"""Messages between daemons about the rate limits of endpoints, and permits.
+
+Each endpoint has a keeper: the daemon that enforces its limit over all daemons.
+"""
 
 from knapweedbridge_core.codec import message
 
 
 @message(tag="LimitHeard")
 class LimitReport:
-    """A daemon tells an endpoint's keeper of the limit that an answer named.
+    """A daemon reports to an endpoint's keeper the limit that a response named.
 
     Parameters
     ----------
     endpoint : str
         The endpoint.
     started_ms : int
-        Its start that this is about, as in `EndpointRecord`.
+        Start of the endpoint that this describes, as in `EndpointRecord`.
     limit_per_s : float or None
-        Calls a second that it takes from all daemons; None: it names no limit any more.
+        Calls per second that it accepts from all daemons; None: it names no limit any
+        more.
     age_s : float
-        How long ago that was heard.
+        Time since the response.
     """
 
     endpoint: str
@@ -27,7 +31,7 @@
 
 @message(tag="LimitTold")
 class LimitUpdate:
-    """A keeper tells of a limit, or a relay hands it on; fields as in `LimitReport`."""
+    """A keeper publishes a limit or a relay forwards it; fields as in `LimitReport`."""
 
     endpoint: str
     started_ms: int
@@ -37,12 +41,12 @@
 
 @message(tag="PermitAsked")
 class PermitRequest:
-    """A daemon asks an endpoint's keeper for a permit; fields as in `LimitReport`.
+    """A daemon requests a permit of an endpoint's keeper; fields as in `LimitReport`.
 
     Parameters
     ----------
     ticket : int
-        What the daemon knows its question by.
+        Identifies the request at the requesting daemon.
     """
 
     endpoint: str
@@ -54,16 +58,16 @@
 
 @message(tag="PermitAnswered")
 class PermitResponse:
-    """A keeper answers a question for a permit.
+    """A keeper answers a request for a permit.
 
     Parameters
     ----------
     endpoint : str
         The endpoint.
     ticket : int
-        As in the question.
+        Ticket of the request.
     wait_s : float
-        0.0 where the permit is given, else when to ask again.
+        0.0 if the permit is granted, otherwise the time after which to ask again.
     """
 
     endpoint: str
@@ -75,18 +79,18 @@
 class CapacityRequest:
     """A daemon asks a brittle endpoint's keeper whether it may send a call.
 
-    The answer is a `PermitResponse`.
+    The response is a `PermitResponse`.
 
     Parameters
     ----------
     endpoint : str
         The endpoint.
     started_ms : int
-        Its start that this is about, as in `EndpointRecord`.
+        Start of the endpoint that this describes, as in `EndpointRecord`.
     turned_away_per_s : float
-        Calls a second that it can turn away, of all daemons together.
+        Calls per second that the endpoint can reject, of all daemons together.
     ticket : int
-        What the daemon knows the question by.
+        Identifies the request at the requesting daemon.
     """
 
     endpoint: str
--- a/packages/core/src/knapweedbridge_core/serving/plain_messages.py
+++ b/packages/core/src/knapweedbridge_core/serving/plain_messages.py
@@ -1,22 +1,25 @@
-"""What daemons tell each other of the requests that run at plain endpoints."""
+"""Messages between daemons about the requests that run at plain endpoints.
+
+Each plain endpoint has a counting daemon, which counts the requests of all daemons.
+"""
 
 from knapweedbridge_core.codec import message
 
 
 @message(tag="PlainAsked")
 class PlainLoadRequest:
-    """A daemon asks an endpoint's counting daemon what runs there.
+    """A daemon asks an endpoint's counting daemon for the load of the endpoint.
 
     Parameters
     ----------
     endpoint : str
         The endpoint.
     started_ms : int
-        Its start that this is about, as in `EndpointRecord`.
+        Start of the endpoint that this describes, as in `EndpointRecord`.
     ticket : int
-        What the daemon knows its question by.
+        Identifies the request at the requesting daemon.
     calls : int
-        Requests of the daemon there, with those that it is about to send.
+        Requests of the daemon there, including those that it is about to send.
     """
 
     endpoint: str
@@ -27,16 +30,16 @@
 
 @message(tag="PlainAnswered")
 class PlainLoadResponse:
-    """A counting daemon answers.
+    """A counting daemon answers a request for the load of an endpoint.
 
     Parameters
     ----------
     endpoint : str
         The endpoint.
     ticket : int
-        As in the question.
+        Ticket of the request.
     others_calls : int
-        Requests there of all daemons but the one that asked.
+        Requests there of all daemons except the requesting one.
     work_s, typical_s : float
         As in `PlainState`.
     """
@@ -50,15 +53,15 @@
 
 @message(tag="PlainRunning")
 class PlainLoadReport:
-    """A daemon tells an endpoint's counting daemon of its requests there.
+    """A daemon reports its requests at an endpoint to the counting daemon.
 
     Parameters
     ----------
     endpoint, started_ms, calls
         As in `PlainLoadRequest`.
     ended, refused : int
-        Requests that were answered, and that the endpoint did not run, since the last
-        telling.
+        Requests that completed, and requests that the endpoint did not run, since the
+        previous report.
     """
 
     endpoint: str
--- a/packages/core/src/knapweedbridge_core/serving/pool.py
+++ b/packages/core/src/knapweedbridge_core/serving/pool.py
@@ -1,9 +1,10 @@
-"""Who hears what, as the pool of daemons grows.
+"""Which daemons follow the store and the owners directly, by the size of the pool.
 
-In a small pool every daemon watches the store and hears every owner. In a large one
-that would cost calls with the number of daemons, and messages with its square: there
-two relays a data centre watch the store and hear the owners, and hand both on. Each
-other daemon hears one of them, so what it hears does not grow with the daemons.
+In a small pool every daemon watches the store and receives the messages of every owner.
+In a large one this would cost calls in proportion to the number of daemons, and
+messages in proportion to its square. There, two relays per data centre watch the store
+and receive the owners' messages, and forward both. Every other daemon subscribes to one
+of them, so its incoming traffic does not grow with the pool.
 """
 
 from collections import defaultdict
@@ -13,36 +14,37 @@
 from knapweedbridge_core.serving.ownership import DaemonRecord
 
 SMALL_POOL = 16
-"""Daemons up to which all hear all: at nine, tellings take 0.1 MB/s in all."""
+"""Maximum number of daemons of a small pool: with nine, the owners' messages take
+0.1 MB/s in total."""
 
 SMALL_POOL_ENDPOINTS = 48
-"""Endpoints up to which all hear all while a daemon starts, three for each daemon of
-the largest small pool. When all hosts of a large pool start at once its daemons are
-listed one after another, but its endpoints are listed before or soon after."""
+"""Maximum number of endpoints of a small pool while a daemon starts: three for each
+daemon of the largest small pool. When all hosts of a large pool start at once, its
+daemons are listed one after another, but its endpoints before or soon after."""
 
 STARTING_S = 3.0
-"""How long after a daemon's start the endpoints count: by then the daemons that started
-with it are listed, and a pool of few daemons counts as small however many endpoints
-it has."""
+"""Time after a daemon's start during which endpoints count. By then the daemons that
+started with it are listed, and a pool of few daemons counts as small however many
+endpoints it has."""
 
 LARGE_LISTED_S = 10.0
-"""How long a pool counts as large after more daemons than those of a small pool were
-listed: a lease lapses and a host starts again within it."""
+"""Time for which a pool still counts as large after it had more daemons than a small
+one: within it a lease expires and a host restarts."""
 
 RELAYS = 2
-"""Relays a data centre: one may fail unseen for a second."""
+"""Relays per data centre: the failure of one may go unnoticed for a second."""
 
 QUOTA_KEEPERS = 4
-"""Daemons a data centre that keep parts of client accounts' quotas."""
+"""Daemons per data centre that keep parts of client accounts' quotas."""
 
 
 def is_small(daemons: Sized, endpoints: Sized = ()) -> bool:
-    """Tell whether all daemons hear all, by what the store lists now."""
+    """Return whether the pool is small, by what the store lists now."""
     return len(daemons) <= SMALL_POOL and len(endpoints) <= SMALL_POOL_ENDPOINTS
 
 
 def ranked(daemons: Iterable[DaemonRecord]) -> dict[str, list[str]]:
-    """Name the daemons of each data centre in the order in which duties fall to them.
+    """Return each data centre's daemons in the order in which duties are assigned.
 
     The first of them are its relays, the next keep parts of client accounts' quotas.
     """
@@ -61,14 +63,14 @@
 
 
 def relays(ranks: dict[str, list[str]]) -> dict[str, list[str]]:
-    """Name the relays of a large pool, by data centre."""
+    """Return the relays of a large pool, by data centre."""
     return {data_centre: names[:RELAYS] for data_centre, names in ranks.items()}
 
 
 def quota_keepers(ranks: dict[str, list[str]]) -> dict[str, list[str]]:
-    """Name the daemons that may keep parts of quotas, by data centre.
+    """Return the daemons that may keep parts of quotas, by data centre.
 
-    Relays have most to do as it is; they keep none where there are others.
+    Relays already have the most work; they are included only if there are no others.
     """
     return {
         data_centre: names[RELAYS:] or names for data_centre, names in ranks.items()
@@ -78,7 +80,7 @@
 def subscribers(
     daemons: Iterable[DaemonRecord], data_centre: str, relay: str, all_relays: list[str]
 ) -> list[str]:
-    """Name the daemons of a data centre that hear a relay and not another."""
+    """Return the daemons of a data centre that subscribe to this one of its relays."""
     return [
         each.name
         for each in daemons
--- a/packages/core/src/knapweedbridge_core/serving/protocols.py
+++ b/packages/core/src/knapweedbridge_core/serving/protocols.py
@@ -1,9 +1,9 @@
-"""What daemons of other versions understand, while a pool is upgraded host by host.
+"""Protocol versions of daemons, for rolling upgrades of a pool.
 
-A daemon says in the store which protocol it speaks; one that says none speaks the
-first. From the second on, messages of unknown kinds and fields that were added at the
-end of known ones are passed over, so only the kinds that the first does not know are
-kept from daemons that speak it.
+Each daemon publishes its protocol version in the store; one that publishes none speaks
+the first. From the second version on, a daemon ignores unknown messages and fields
+added at the end of known ones. So only the messages that the first version does not
+know are withheld, from daemons that speak it.
 """
 
 from knapweedbridge_core.serving.blame_messages import (
@@ -21,9 +21,9 @@
 
 FIRST_PROTOCOL = 1
 PROTOCOL = 5
-"""Rises with each kind of message, or meaning of one, that earlier versions lack."""
+"""Increases with each new message, or new meaning of one."""
 
-SINCE: dict[type, int] = {
+INTRODUCED_IN: dict[type, int] = {
     CapacityRequest: 2,
     CallRejected: 2,
     OriginsRecorded: 3,
@@ -34,9 +34,9 @@
     PartsCleared: 5,
     SuspectsHeld: 5,
 }
-"""The protocols that brought kinds of messages; others are of the first."""
+"""Protocol versions that introduced messages; all others belong to the first."""
 
 
 def understands(protocol: int, message: object) -> bool:
-    """Return whether a daemon that speaks a protocol understands a message."""
-    return protocol >= SINCE.get(type(message), FIRST_PROTOCOL)
+    """Return whether a daemon that speaks a protocol version knows a message."""
+    return protocol >= INTRODUCED_IN.get(type(message), FIRST_PROTOCOL)
--- a/packages/core/src/knapweedbridge_core/serving/software_versions.py
+++ b/packages/core/src/knapweedbridge_core/serving/software_versions.py
@@ -1,20 +1,20 @@
-"""Which versions of their software the endpoints of each service run."""
+"""Software versions of the endpoints of each service."""
 
 from collections import Counter, defaultdict
 from collections.abc import Iterable
 
 STREAM_LIFE_S = 60.0
-"""Longest time over which the caller of one stream may resume it: deadlines are some
-tens of seconds."""
+"""Longest time for which a caller may resume a stream: deadlines are some tens of
+seconds."""
 
 
 class SoftwareVersions:
-    """The software versions of each service that streams may have begun on.
+    """The software versions of each service on which streams may have begun.
 
-    A version counts while an endpoint of it is listed, and for `STREAM_LIFE_S` after.
-    A host that was started since knows of it by the platform's store, in which hosts
-    record the versions of a service that serve side by side. Times are of one steady
-    clock, in seconds.
+    A version counts while an endpoint that runs it is listed, and for `STREAM_LIFE_S`
+    afterwards. A host that was started later learns of it from the platform's store,
+    where hosts record the versions of a service that serve side by side. Times are in
+    seconds of one steady clock.
     """
 
     __slots__ = ("_gone_s", "_listed", "_recorded", "_recorded_s")
@@ -38,7 +38,7 @@
             self._gone_s.setdefault(service, {})[software] = now_s
 
     def recorded(self, service: str, versions: Iterable[str], now_s: float) -> None:
-        """Record which versions the store holds for a service; none: no record."""
+        """Record the versions that the store holds for a service; none: no record."""
         found = frozenset(versions)
         if found:
             self._recorded[service] = found
@@ -52,7 +52,7 @@
         return list(self._listed)
 
     def of(self, service: str, now_s: float) -> set[str]:
-        """Return the versions of a service that streams may have begun on."""
+        """Return the versions of a service on which streams may have begun."""
         return self._seen(service, now_s) | self._recorded.get(service, frozenset())
 
     def _seen(self, service: str, now_s: float) -> set[str]:
@@ -74,13 +74,13 @@
         return len(self.of(service, now_s)) > 1
 
     def to_record(self, service: str, now_s: float) -> set[str] | None:
-        """Return what the store should hold for a service.
+        """Return the versions that the store should hold for a service.
 
         Returns
         -------
         set of str or None
-            The versions to write; empty: the record is to be removed; None: what the
-            store holds is right.
+            The versions to write; empty: remove the record; None: the record is up to
+            date.
         """
         seen, held = self._seen(service, now_s), self._recorded.get(service)
         if held is None:
@@ -91,5 +91,5 @@
         return set() if is_old and len(seen) <= 1 else None
 
     def max_listed(self) -> int:
-        """Return the most versions of one service that are listed side by side."""
+        """Return the maximum over services of the versions that are listed at once."""
         return max(map(len, self._listed.values()), default=0)
--- a/packages/core/src/knapweedbridge_core/serving/store_eras.py
+++ b/packages/core/src/knapweedbridge_core/serving/store_eras.py
@@ -1,17 +1,19 @@
-"""Revisions of a store that may come back from an older copy of itself.
+"""Revisions of a store that may be restored from an older copy of itself.
 
-Such a store gives revisions out again that stood for other changes before. It tells its
-era with each answer, which rises by one each time. A stamp holds both, so stamps only
-rise: what is known by a stamp is never taken for what another era wrote under the same
-revision, and a fencing number made of one is above all that endpoints have seen.
+A restored store reuses revisions that stood for other changes before. Each of its
+responses names its era, which increases by one with each restore. A stamp combines era
+and revision, so stamps only increase: a change known by its stamp is never confused
+with one that another era wrote under the same revision, and a fencing number made from
+a stamp is higher than all that endpoints have seen.
 """
 
 REVISION_BITS = 40
-"""Bits of a stamp below the era: a million changes a second for twelve days."""
+"""Bits of a stamp below the era: enough for a million changes per second for twelve
+days."""
 
 
 def stamp(era: int, revision: int) -> int:
-    """Return the stamp of a revision; 0, no revision, stands for itself."""
+    """Return the stamp of a revision; 0, which is no revision, has stamp 0."""
     return (era << REVISION_BITS) | revision if revision else 0
 
 
@@ -21,5 +23,5 @@
 
 
 def revision_of(stamped: int) -> int:
-    """Return the revision of a stamp, as the store knows it."""
+    """Return the store's own revision of a stamp."""
     return stamped & ((1 << REVISION_BITS) - 1)
--- a/packages/core/src/knapweedbridge_core/serving/store_events.py
+++ b/packages/core/src/knapweedbridge_core/serving/store_events.py
@@ -1,4 +1,7 @@
-"""What the platform's store says, one thing each."""
+"""Events of the platform's store, each of which reports one change.
+
+Log lines contain the names of these classes.
+"""
 
 from knapweedbridge_core.records import record
 from knapweedbridge_core.serving.deployment import Deployment
@@ -16,7 +19,7 @@
 
 @record
 class VersionNamed:
-    """A new version of an adapter, or of a base model's weights."""
+    """The store names a version of an adapter or of a base model's weights."""
 
     model: ModelRef
     version: int
@@ -31,12 +34,12 @@
 
 @record
 class EndpointUnreadable:
-    """The entry of an endpoint in the list cannot be read.
+    """The entry of an endpoint cannot be parsed.
 
     Parameters
     ----------
     cause : str
-        What is wrong with it, for the log.
+        Description of the error, for the log.
     """
 
     endpoint: str
@@ -45,7 +48,7 @@
 
 @record
 class EndpointGone:
-    """The store lists an endpoint no more."""
+    """The store no longer lists an endpoint."""
 
     endpoint: str
 
@@ -59,14 +62,14 @@
 
 @record
 class DaemonGone:
-    """The store lists a daemon no more."""
+    """The store no longer lists a daemon."""
 
     name: str
 
 
 @record
 class ProtocolNamed:
-    """A daemon says which protocol its present start speaks."""
+    """A daemon publishes the protocol version of its present start."""
 
     name: str
     incarnation: int
@@ -80,7 +83,7 @@
     Parameters
     ----------
     versions : tuple of str
-        The versions; empty: there is no record any more.
+        The versions; empty: the record was removed.
     """
 
     service: str
@@ -89,7 +92,7 @@
 
 @record
 class LinksLost:
-    """A daemon says that its host reaches no endpoint."""
+    """A daemon publishes that its host reaches no endpoint."""
 
     name: str
     incarnation: int
@@ -97,7 +100,7 @@
 
 @record
 class LinksBack:
-    """A daemon says so no more."""
+    """A daemon withdraws its `LinksLost`."""
 
     name: str
 
@@ -112,21 +115,21 @@
 
 @record
 class OwnerGone:
-    """An owner's record is gone: its lease lapsed."""
+    """An owner's record is gone because its lease expired."""
 
     endpoint: str
 
 
 @record
 class CallRefused:
-    """The store says that a call which crashes endpoints is refused.
+    """The store says to reject a call because it crashes endpoints.
 
     Parameters
     ----------
     mark : str
-        What it is known by.
+        Identifies the call.
     for_s : float
-        For how long, in seconds from the writing.
+        Duration in seconds, from when the entry was written.
     """
 
     mark: str
@@ -135,14 +138,14 @@
 
 @record
 class CallAllowed:
-    """The store says so of a call no more."""
+    """The store withdraws a `CallRefused`."""
 
     mark: str
 
 
 @record
 class SecretNamed:
-    """The secret by which daemons know each other."""
+    """The shared secret by which daemons authenticate each other."""
 
     secret: bytes
 
--- a/packages/core/src/knapweedbridge_core/serving/stream_origins.py
+++ b/packages/core/src/knapweedbridge_core/serving/stream_origins.py
@@ -1,8 +1,9 @@
-"""Which software version began a stream, and which hosts are asked for that.
+"""Which software version began a stream, and which hosts keep that record.
 
-A stream goes on only at the version that began it, and its caller may resume it at any
-host. So while endpoints of several versions serve, the host that begins a stream
-records its origin at a few others, the keepers, and a host that resumes one asks them.
+A stream continues only on the version that began it, and its caller may resume it at
+any host. While endpoints of several versions serve, the host that begins a stream
+therefore records its origin at a few other hosts, its keepers; a host that resumes a
+stream asks them.
 """
 
 import math
@@ -15,24 +16,24 @@
 """Hosts that keep the origin of one stream, in as many data centres as there are."""
 
 MOST_KEPT = 100_000
-"""Origins that one host keeps; the oldest ones go first beyond that."""
+"""Maximum number of origins that one host keeps; the oldest are evicted first."""
 
 SWEEP_S = 5.0
-"""Time between two searches for origins of streams that are over."""
+"""Interval between searches for origins of streams that are over."""
 
 
 @dataclass(slots=True, frozen=True)
 class StreamOrigin:
-    """What began a stream.
+    """Service and software version that began a stream.
 
     Parameters
     ----------
     service : str
-        Service of the endpoint that made its first event.
+        Service of the endpoint that produced its first event.
     software : str
-        Version of that endpoint's software.
+        Software version of that endpoint.
     until_s : float
-        When the last of its caller's attempts is over, on this host's clock.
+        When the last of its caller's attempts is over, by this host's clock.
     """
 
     service: str
@@ -41,7 +42,7 @@
 
 
 class OriginTable:
-    """Origins by stream, until the streams are over."""
+    """Origins by stream, kept until the streams are over."""
 
     __slots__ = ("_origins", "_swept_s")
 
@@ -53,7 +54,7 @@
         return len(self._origins)
 
     def record(self, stream: str, origin: StreamOrigin, now_s: float) -> None:
-        """Record a stream's origin; a known one stays, for the longer time."""
+        """Record a stream's origin; a known one is kept, with the later expiry."""
         known = self._origins.pop(stream, None)
         if known is not None:
             origin = replace(known, until_s=max(known.until_s, origin.until_s))
@@ -70,11 +71,11 @@
             del self._origins[stream]
 
     def forget(self, stream: str) -> None:
-        """Forget a stream that came to its end."""
+        """Remove a stream that has ended."""
         self._origins.pop(stream, None)
 
     def find(self, stream: str) -> StreamOrigin | None:
-        """Return the origin of a stream; None where it is not known."""
+        """Return the origin of a stream, or None if it is not known."""
         return self._origins.get(stream)
 
     def of_services(
@@ -89,7 +90,7 @@
 
 
 def origin_keepers(stream: str, candidates: Mapping[str, Sequence[str]]) -> list[str]:
-    """Name the hosts that keep a stream's origin, in a fixed order.
+    """Return the hosts that keep a stream's origin, in a fixed order.
 
     Parameters
     ----------
@@ -101,15 +102,15 @@
 
 @dataclass(slots=True, frozen=True)
 class VersionView:
-    """What a host knows of the versions of a service.
+    """One host's view of the versions of a service.
 
     Parameters
     ----------
     versions : frozenset of str
-        Versions that streams may have begun on.
+        Versions on which streams may have begun.
     is_current : bool
-        Whether its view of the store is current, and has all versions that were there
-        since the stream began.
+        Whether its view of the store is current, and contains all versions that have
+        served since the stream began.
     """
 
     versions: frozenset[str]
@@ -117,29 +118,29 @@
 
 
 class OriginQuery:
-    """A question for the origin of a stream that this host does not know.
+    """Query for the origin of a stream that this host does not know.
 
     Parameters
     ----------
     asked : list of str
         Hosts that are asked.
     view : VersionView
-        What this host knows.
+        This host's own view.
     """
 
-    __slots__ = ("_asked", "_found", "_heard", "_own", "_views")
+    __slots__ = ("_answered", "_found", "_own", "_pending", "_views")
 
     def __init__(self, asked: list[str], view: VersionView) -> None:
-        self._asked = set(asked)
-        self._heard: set[str] = set()
+        self._pending = set(asked)
+        self._answered: set[str] = set()
         self._own = view
         self._views: list[VersionView] = []
         self._found: str | None = None
 
     def ask(self, hosts: Iterable[str]) -> set[str]:
-        """Return which hosts have not answered yet, some new ones among them."""
-        self._asked |= set(hosts) - self._heard
-        return set(self._asked)
+        """Add hosts to ask and return all that have not answered yet."""
+        self._pending |= set(hosts) - self._answered
+        return set(self._pending)
 
     def answer(self, host: str, software: str | None, view: VersionView) -> None:
         """Record the answer of a host.
@@ -149,39 +150,40 @@
         software : str or None
             Version that began the stream; None: the host does not know.
         view : VersionView
-            What the host knows.
+            The host's view.
         """
-        if host not in self._asked:
+        if host not in self._pending:
             return
-        self._asked.discard(host)
-        self._heard.add(host)
+        self._pending.discard(host)
+        self._answered.add(host)
         self._views.append(view)
         self._found = self._found or software
 
     @property
     def answered(self) -> int:
-        """Hosts that have answered."""
+        """Number of hosts that have answered."""
         return len(self._views)
 
     @property
     def is_decided(self) -> bool:
-        """Whether no further answer is waited for.
+        """Whether no further answer is needed.
 
         Only a version that appeared just now can be unknown to a host with a current
-        view. Its streams are recorded at all keepers at once, so one that knows of none
-        stands for the others.
+        view. Its streams are recorded at all keepers at once, so the answer of one that
+        knows of none holds for the others.
         """
-        if self._found is not None or not self._asked:
+        if self._found is not None or not self._pending:
             return True
         is_confirmed = bool(self._views) and self._versions() == self._own.versions
         return self._own.is_current and is_confirmed and len(self._own.versions) == 1
 
     def software(self) -> str | None:
-        """Return the version that began the stream; None where that cannot be told.
+        """Return the version that began the stream, or None if it is undecidable.
 
-        Without a record it can be told only where all who were heard know one version,
-        and the view of one is current. While none is, another version may have
-        appeared: then all keepers must have answered, as one would have the record.
+        Without a record it is decidable only if all views contain the same single
+        version and one of them is current. While none is current, another version may
+        have appeared; then all keepers must have answered, as one would have the
+        record.
         """
         if self._found is not None:
             return self._found
@@ -196,5 +198,5 @@
     def _is_informed(self) -> bool:
         if any(each.is_current for each in (self._own, *self._views)):
             return True
-        is_whole = not self._asked and len(self._views) > 1
-        return is_whole and all(each.versions for each in self._views)
+        is_complete = not self._pending and len(self._views) > 1
+        return is_complete and all(each.versions for each in self._views)
--- a/packages/core/src/knapweedbridge_core/serving/tunnel_messages.py
+++ b/packages/core/src/knapweedbridge_core/serving/tunnel_messages.py
@@ -1,8 +1,8 @@
-"""What daemons say to each other to open a tunnel to an endpoint.
+"""Messages between daemons that open a tunnel to an endpoint.
 
-A tunnel begins as a stream between daemons: the first message after the handshake asks
-for it. A daemon that knows no tunnels ends the stream, as with any message that it does
-not know.
+A tunnel is a stream between daemons whose first message after the handshake is a
+`TunnelRequest`. A daemon that does not support tunnels closes the stream, as with any
+unknown message.
 """
 
 from knapweedbridge_core.codec import message
@@ -10,14 +10,14 @@
 
 @message(tag="TunnelAsked")
 class TunnelRequest:
-    """A daemon asks another for a connection to an endpoint.
+    """A daemon asks another daemon for a connection to an endpoint.
 
     Parameters
     ----------
     endpoint : str
-        The endpoint, which the other must know.
+        The endpoint, which the other daemon must know.
     address : str
-        Where it listens.
+        Address on which the endpoint listens.
     """
 
     endpoint: str
@@ -26,12 +26,12 @@
 
 @message
 class TunnelOpened:
-    """The connection stands; what follows are its bytes.
+    """The connection is open; the bytes that follow are its data.
 
     Parameters
     ----------
     tunnels : int
-        Tunnels that the forwarder carries, with this one.
+        Tunnels that the forwarder carries, including this one.
     """
 
     tunnels: int
@@ -39,15 +39,15 @@
 
 @message
 class TunnelRefused:
-    """The forwarder makes no connection.
+    """The forwarder does not open a connection.
 
     Parameters
     ----------
     reason : str
-        ``unreachable``: it reaches others, and not this endpoint. ``unsure``: it may
-        have no links itself. ``cut``: its path to this endpoint is cut. ``unknown``: it
-        does not know the endpoint. ``no_links``, ``busy``, ``draining``: it carries no
-        tunnels now.
+        ``unreachable``: it reaches other endpoints but not this one. ``unsure``: it may
+        itself have lost its links. ``cut``: its path to this endpoint is cut.
+        ``unknown``: it does not know the endpoint. ``no_links``, ``busy``,
+        ``draining``: it carries no tunnels at present.
     """
 
     reason: str
