--- a/bench/pool.py
+++ b/bench/pool.py
@@ -14,8 +14,8 @@
     StoreRead,
     StoreWrite,
 )
+from knapweedbridge_core.codec import encode, tag_of
 from knapweedbridge_core.configuration import Configuration, build
-from knapweedbridge_core.messages import encode
 from knapweedbridge_core.names import AdapterVersion
 
 TICK_S = 0.5
@@ -94,7 +94,7 @@
     def _handle(self, host: str, event: Any) -> None:
         kind = type(event).__name__
         if isinstance(event, events.PeerMessage):
-            kind = type(event.message).__name__
+            kind = tag_of(event.message)
         started_s = time.perf_counter()
         actions = self.cores[host].handle(event, self.now_s)
         self.costs.spent_s[kind] += time.perf_counter() - started_s
@@ -104,7 +104,7 @@
 
     def _carry_out(self, host: str, action: Any) -> None:
         if isinstance(action, SendPeer):
-            kind = type(action.message).__name__
+            kind = tag_of(action.message)
             self.costs.sent[kind] += 1
             self.costs.sent_bytes[kind] += len(encode(action.message))
             heard = events.PeerMessage(host, action.message)
--- a/features/members/steps/configuration_steps.py
+++ b/features/members/steps/configuration_steps.py
@@ -345,12 +345,12 @@
     pool.reset_traffic()
     one_changes(context)
     pool.run(1)
-    kinds = ("ConfigurationRequest", "ConfigurationDelta", "ConfigurationRoot")
+    kinds = ("ConfigurationAsk", "ConfigurationChanged", "ConfigurationRoot")
     total = sum(
         node.traffic.kinds[kind] for node in pool.nodes.values() for kind in kinds
     )
     assert 0 < total < limit * len(pool.nodes), total
-    assert not any(node.traffic.kinds["PartResponse"] for node in pool.nodes.values())
+    assert not any(node.traffic.kinds["PartTold"] for node in pool.nodes.values())
 
 
 KINDS = {
--- a/features/speeds/steps/learning_steps.py
+++ b/features/speeds/steps/learning_steps.py
@@ -4,6 +4,7 @@
 import anyio
 from behave import given, then, when
 
+from knapweedbridge_core.codec import tag_of
 from knapweedbridge_core.serving import (
     EndpointRecord,
     EndpointStart,
@@ -130,7 +131,7 @@
     told = updates.tell(["h1"], False, NOW_S)
     updates.mark_calls_changed()
     told += updates.tell(["h1"], False, NOW_S + 1)
-    kinds = {type(each.message).__name__ for each in told}
+    kinds = {tag_of(each.message) for each in told}
     assert kinds == {"EngineTold", "EngineChanged"}, kinds
     assert all(least <= each.message.speed <= most for each in told), told
 
--- a/packages/core/src/knapweedbridge_core/codec.py
+++ b/packages/core/src/knapweedbridge_core/codec.py
@@ -64,11 +64,16 @@
     return AdapterVersion(*msgpack.unpackb(data))
 
 
+def tag_of(instance: Any) -> str:
+    """Return the name of a message on the wire."""
+    kind = type(instance)
+    return _TAGS.get(kind, kind.__name__)
+
+
 def encode(instance: Any) -> bytes:
     """Encode a message."""
     values = values_of(instance)
-    tag = _TAGS.get(type(instance), type(instance).__name__)
-    return msgpack.packb([tag, *values], default=_pack_default)
+    return msgpack.packb([tag_of(instance), *values], default=_pack_default)
 
 
 def unpacker(max_message_bytes: int = MAX_MESSAGE_BYTES) -> msgpack.Unpacker:
--- a/packages/core/src/knapweedbridge_core/configuration_schema.py
+++ b/packages/core/src/knapweedbridge_core/configuration_schema.py
@@ -20,21 +20,21 @@
         "A team that owns adapters and routes.",
         {
             "share": Key(Number(0, 1000), "1", "Weight of the team under overload."),
-            "requests_per_s": Key(Number(0, 1e6), "0", "Limit; 0: none."),
+            "requests_per_s": Key(Number(0, 1e6), "0", "Request limit; 0: none."),
         },
     ),
     "key": Section(
-        "A key that callers or operators show.",
+        "An API key of a caller or an operator.",
         {
             "team": Key(Name(), None, "Team the key belongs to."),
             "role": Key(
                 Choice("caller", "operator", "administrator"),
                 "caller",
-                "What it opens: the callers' face; also its team's configuration; all.",
+                "Access: the callers' API; also its team's configuration; everything.",
             ),
             "requests_per_s": Key(Number(0, 1e6), "0", "Limit of the key; 0: none."),
             "concurrent": Key(
-                Number(0, 1e6, True), "0", "Requests of the key at a time; 0: any."
+                Number(0, 1e6, True), "0", "Concurrent requests; 0: no limit."
             ),
             "hash": Key(Digest(), None, "SHA-256 of the key, in hexadecimal."),
         },
@@ -43,7 +43,7 @@
         "An adapter of a base model.",
         {
             "team": Key(Name(), None, "Team that owns the adapter."),
-            "base_model": Key(Name(), None, "Base model it refines."),
+            "base_model": Key(Name(), None, "Base model of the adapter."),
         },
     ),
     "version": Section(
@@ -56,13 +56,13 @@
             "team": Key(Name(), None, "Team that owns the route."),
             "model": Key(Text(), None, "adapter@version the application runs on."),
             "priority": Key(
-                Choice("interactive", "normal", "batch"), "normal", "Order of service."
+                Choice("interactive", "normal", "batch"), "normal", "Queue priority."
             ),
             "non_idempotent": Key(Flag(), "no", "Whether a request may run only once."),
         },
     ),
     "service": Section(
-        "A plain service, reached by its path.",
+        "A plain HTTP service, addressed by a path prefix.",
         {
             "path": Key(Text(), None, "Path prefix that callers use."),
             "non_idempotent": Key(Flag(), "no", "Whether a call may run only once."),
@@ -77,38 +77,38 @@
             "team": Key(
                 Text(),
                 "",
-                "Team that owns the rule; empty: all, administrators' only.",
+                "Team that owns the rule; empty: all teams, administrators only.",
             ),
-            "service": Key(Text(), "", "Service it is about; empty: all."),
-            "application": Key(Text(), "", "Application it is about; empty: all."),
+            "service": Key(Text(), "", "Service it applies to; empty: all."),
+            "application": Key(Text(), "", "Application it applies to; empty: all."),
             "methods": Key(Methods(), "", "Methods; empty: all but GET and HEAD."),
             "path": Key(Text(), "", "Path prefix within the service; empty: all."),
             "non_idempotent": Key(
-                Flag(), "", "Whether a request may run only once; empty: as elsewhere."
+                Flag(), "", "Whether a request may run only once; empty: the target's."
             ),
             "without_key": Key(
                 Choice(*WithoutKey),
                 WithoutKey.RUN,
-                "Of a non-idempotent request without an idempotency key.",
+                "Action for a non-idempotent request without an idempotency key.",
             ),
         },
     ),
     "endpoint": Section(
         "A model engine or an instance of a plain service.",
         {
-            "kind": Key(Choice("engine", "service"), "engine", "What stands there."),
-            "address": Key(Address(), None, "Where it listens."),
-            "data_centre": Key(Name(), None, "Data centre it stands in."),
+            "kind": Key(Choice("engine", "service"), "engine", "Kind of endpoint."),
+            "address": Key(Address(), None, "Address it listens on."),
+            "data_centre": Key(Name(), None, "Data centre of the endpoint."),
             "base_model": Key(Text(), "", "Base model of an engine."),
-            "service": Key(Text(), "", "Service that a plain endpoint serves."),
+            "service": Key(Text(), "", "Service of a plain endpoint."),
             "slots": Key(Number(1, 4096, True), "8", "Adapter slots of an engine."),
-            "batch": Key(Number(1, 4096, True), "16", "Requests of one engine step."),
-            "checks_fencing": Key(Flag(), "no", "Whether it refuses old orders."),
+            "batch": Key(Number(1, 4096, True), "16", "Requests in one batch."),
+            "checks_fencing": Key(Flag(), "no", "Whether it rejects outdated orders."),
         },
     ),
     "weight_store": Section(
         "The limits of the weight store.",
-        {"loads_per_s": Key(Number(0.001, 1e4), "3", "Loads allowed a second.")},
+        {"loads_per_s": Key(Number(0.001, 1e4), "3", "Adapter loads per second.")},
     ),
     "placement": PLACEMENT_SECTION,
 }
--- a/packages/core/src/knapweedbridge_core/policy.py
+++ b/packages/core/src/knapweedbridge_core/policy.py
@@ -24,23 +24,21 @@
 PLACEMENT_SECTION = Section(
     "How adapters are placed.",
     {
-        "weigh": Key(
-            BatchWeight(), "stalls", "What weighs more; also a number, 0 to 1."
-        ),
+        "weigh": Key(BatchWeight(), "stalls", "Preference; also a number, 0 to 1."),
         "forecast": Key(
             Choice("change_aware", "decayed_count", "last_use"),
             "change_aware",
-            "What decides the eviction.",
+            "What evictions are based on.",
         ),
         "order": Key(
             Choice("most_awaited", "longest_wait"),
             "most_awaited",
-            "Which load goes first.",
+            "Which load starts first.",
         ),
-        "prefetch": Key(Flag(), "yes", "Whether unused loads fill free slots."),
+        "prefetch": Key(Flag(), "yes", "Whether spare loads fill free slots."),
         "copies": Key(Flag(), "yes", "Whether a hot adapter gets a second copy."),
         "refuse_late": Key(
-            Flag(), "yes", "Whether what cannot be loaded in time is refused at once."
+            Flag(), "yes", "Whether a request that cannot load in time is refused."
         ),
     },
 )
--- a/packages/core/src/knapweedbridge_core/settings.py
+++ b/packages/core/src/knapweedbridge_core/settings.py
@@ -25,18 +25,18 @@
 
 SECTIONS: dict[str, Section] = {
     "host": Section(
-        "Who this daemon is.",
+        "Identity of this daemon.",
         {
             "name": Key(Name(), None, "Name of the host in the platform's list."),
-            "data_centre": Key(Name(), None, "Data centre the host stands in."),
+            "data_centre": Key(Name(), None, "Data centre of the host."),
         },
     ),
     "listen": Section(
         "The addresses this daemon listens on.",
         {
-            "callers": Key(Address(), None, "Address of the callers' face."),
-            "administration": Key(Address(), None, "Address of the operators' face."),
-            "peers": Key(Address(), None, "Address for streams from other daemons."),
+            "callers": Key(Address(), None, "Address of the callers' API."),
+            "administration": Key(Address(), None, "Address of the operators' API."),
+            "peers": Key(Address(), None, "Address for connections of other daemons."),
             "first_key_hash": Key(
                 Digest(), "", "SHA-256 of the operators' key until one is configured."
             ),
@@ -45,58 +45,58 @@
             "certificate_poll_s": Key(
                 Number(0.01, 86400),
                 "10",
-                "Pause between looks at them, seconds.",
+                "Pause between checks for new files, seconds.",
             ),
         },
     ),
     "platform": Section(
-        "The platform's parts.",
+        "The services of the platform.",
         {
             "key_value": Key(Url(), None, "URL of the key-value service."),
             "host_list": Key(Url(), None, "URL of the list of hosts."),
-            "timeout_s": Key(Number(0.01, 60), "2", "Bound on one call, seconds."),
+            "timeout_s": Key(Number(0.01, 60), "2", "Timeout of one call, seconds."),
             "poll_s": Key(Number(0.05, 600), "2", "Pause between reads, seconds."),
             "watch": Key(Flag(), "yes", "Whether this daemon may watch the service."),
         },
     ),
     "peers": Section(
-        "Streams between daemons.",
+        "Connections between daemons.",
         {
             "secret_file": Key(
-                FilePath(), "", "File of the shared secret of the peers."
+                FilePath(), "", "File with the secret that all peers share."
             ),
             "heartbeat_s": Key(Number(0.05, 60), "0.5", "Heartbeat period, seconds."),
-            "silence_s": Key(Number(0.1, 600), "2", "Silence that closes, seconds."),
+            "silence_s": Key(Number(0.1, 600), "2", "Silence before closing, seconds."),
             "pool": Key(
                 Choice("deployment", "data_centre"),
                 "deployment",
-                "Whether daemons of all data centres act together.",
+                "Whether the pool spans all data centres.",
             ),
         },
     ),
     "requests": Section(
-        "The life of a request.",
+        "Handling of requests.",
         {
             "deadline_s": Key(
                 Number(0.1, 3600), "60", "Default deadline of a request, seconds."
             ),
             "connect_timeout_s": Key(
-                Number(0.01, 60), "1", "Bound on connecting to an endpoint, seconds."
+                Number(0.01, 60), "1", "Timeout of connecting to an endpoint, seconds."
             ),
             "first_token_timeout_s": Key(
-                Number(0.1, 600), "20", "Bound before the first token, seconds."
+                Number(0.1, 600), "20", "Timeout of the first token, seconds."
             ),
             "token_gap_timeout_s": Key(
-                Number(0.05, 600), "5", "Bound between two tokens, seconds."
+                Number(0.05, 600), "5", "Timeout between two tokens, seconds."
             ),
             "connection_idle_s": Key(
-                Number(0, 600), "2", "Idle life of a pooled connection, seconds."
+                Number(0, 600), "2", "Idle timeout of a pooled connection, seconds."
             ),
             "connection_age_s": Key(
-                Number(0.1, 86400), "60", "Greatest age of the pool, seconds."
+                Number(0.1, 86400), "60", "Maximum age of the pool, seconds."
             ),
             "keepalive_s": Key(
-                Number(1, 600), "5", "Silence before the kernel probes, seconds."
+                Number(1, 600), "5", "Idle time before TCP keep-alive probes, seconds."
             ),
             "join_wait_s": Key(
                 Number(0, 0.05),
@@ -104,7 +104,7 @@
                 "Longest wait to join tokens into one write, seconds; 0: none.",
             ),
             "stream_client": Key(
-                Choice("aiohttp", "httpx"), "aiohttp", "Library that streams come by."
+                Choice("aiohttp", "httpx"), "aiohttp", "HTTP client for streams."
             ),
             "max_body_bytes": Key(
                 Number(1024, 1 << 30, whole=True),
@@ -114,7 +114,7 @@
             "drain_grace_s": Key(
                 Number(0, 600),
                 "5",
-                "How long a stopping daemon still serves what arrives, seconds.",
+                "How long a stopping daemon still accepts requests, seconds.",
             ),
             "drain_timeout_s": Key(
                 Number(0, 86400), "600", "Longest wait for streams at exit, seconds."
@@ -122,15 +122,15 @@
         },
     ),
     "blame": Section(
-        "Requests that crash endpoints.",
+        "Detection of requests that crash endpoints.",
         {
             "lapse_s": Key(
-                Number(1, 86400), "600", "Time after which blame lapses, seconds."
+                Number(1, 86400), "600", "Time after which suspicion expires, seconds."
             ),
             "suspects": Key(
                 Number(10, 100_000, whole=True),
                 "1000",
-                "Requests suspected at once.",
+                "Maximum number of suspected requests.",
             ),
         },
     ),
@@ -140,7 +140,7 @@
             "level": Key(
                 Choice("error", "info", "debug"),
                 "info",
-                "error: failures; info: also changes of state; debug: every event.",
+                "error: failures; info: also state changes; debug: every event.",
             ),
             "destination": Key(
                 Text(), "stderr", "stderr, stdout or the path of a file."
--- a/packages/standins/src/knapweedbridge_standins/pool.py
+++ b/packages/standins/src/knapweedbridge_standins/pool.py
@@ -14,7 +14,7 @@
 
 from knapweedbridge_core import Bridge, events
 from knapweedbridge_core.actions import Record, SendPeer
-from knapweedbridge_core.messages import encode
+from knapweedbridge_core.codec import encode, tag_of
 from knapweedbridge_core.parts import Changes, Parts, Root, Sections
 
 TICK_S = 0.5
@@ -223,7 +223,7 @@
         size = len(encode(action.message))
         node.traffic.sent_bytes += size
         node.traffic.messages += 1
-        node.traffic.kinds[type(action.message).__name__] += size
+        node.traffic.kinds[tag_of(action.message)] += size
         node.traffic.peers.add(action.host)
         pair = (host, action.host)
         if pair in self.cuts:
