--- a/features/load/steps/pacing_steps.py
+++ b/features/load/steps/pacing_steps.py
@@ -28,7 +28,7 @@
     ]
 
 
-@when("schools' engines are played at {load:g} times their usual load")
+@when("schools' engines are simulated at {load:g} times their usual load")
 def play_schools(context, load):
     context.paced, context.unpaced = schools(load, True), schools(load, False)
 
@@ -46,7 +46,7 @@
     assert paced <= part * unpaced, (paced, unpaced)
 
 
-@when("a small pool is played at {load:g} times its usual load, paced and not")
+@when("a small pool is simulated at {load:g} times its usual load, paced and not")
 def play_small(context, load):
     context.shares = [
         play(SITES["okavango"], LeastCostPlacement(), load, PLAYED_S, 1, paced)
@@ -115,7 +115,7 @@
 
 
 def waits_s(context, tokens):
-    """Return how long a prompt waits for its turn; others go before it, if any do."""
+    """Return how long a prompt waits for its turn, behind other prompts if any."""
     pacer, others = context.pacer, getattr(context, "others", 0)
     began_s = now_s = context.now_s
     if others:
@@ -143,9 +143,9 @@
 
 @when(
     "streams paused {a:g} s, and later pauses of {b:g} s follow "
-    "while all that may passes"
+    "while the budget is used up"
 )
-def calm_pauses(context, a, b):
+def short_pauses(context, a, b):
     paused(context, a)
     context.first = context.pacer.budget_tokens
     context.seen = []
@@ -157,7 +157,7 @@
         context.seen.append((context.now_s, context.pacer.budget_tokens))
 
 
-@then("as much passes for 20 s, and more after that")
+@then("the budget is the same for 20 s, and larger after that")
 def steady_then_more(context):
     early = [
         tokens for at_s, tokens in context.seen if at_s < NOW_S + HOLD_AFTER_PAUSE_S
@@ -172,8 +172,8 @@
         context.pacer.sent(500, NOW_S + number * s)
 
 
-@then("no more of them are kept than of a second")
-def forgotten(context):
+@then("only those of the last second are kept")
+def only_last_second(context):
     kept = len(context.pacer._sent)
     assert kept <= 101, kept
 
@@ -183,7 +183,7 @@
     context.pacer.heard([0.0, 1.0])
 
 
-@then("as much passes here, until pauses here show another pace")
+@then("its budget applies here, until pauses here show another one")
 def adopted(context):
     reading = 0.8 * context.pacer.gap_s / context.pacer.token_s
     assert context.pacer.budget_tokens == reading, context.pacer.budget_tokens
@@ -253,7 +253,7 @@
 
 
 @then("after 6 calls it is forecast at least twice as slow as the others")
-def told_apart(context):
+def distinguished(context):
     assert ratio(context, context.now_s + 0.6) >= 2, ratio(context, context.now_s + 0.6)
 
 
--- a/features/speeds/learning.feature
+++ b/features/speeds/learning.feature
@@ -1,8 +1,8 @@
-Feature: Owners learn how fast each engine of a service is
+Feature: Owners estimate the speed of each engine of a service
 
   Scenario Outline: The speed of an engine: <story>
-    Engines of one service took 0.6 to 1.6 times the usual time, and were taken to be
-    alike: a third of the streams came late, most of them on the slow ones.
+    Engines of one service take 0.6 to 1.6 times the usual time. Placement that assumed
+    equal engines made a third of the streams late, most of them on the slow ones.
 
     When <daemons> daemons see <count> responses in <s> s that take <times> times
     And of them <stray>
@@ -42,12 +42,12 @@
     And after that one response a minute takes 1.6 times, for 5 minutes
     Then its speed is from 1.3 to 1.65
 
-  Scenario: A new owner goes on from the speed that the last one published
-    When an owner begins at 1.6, and sees 2 responses that take 0.6 times
+  Scenario: A new owner starts from the speed that the previous one published
+    When an owner starts from 1.6, and sees 2 responses that take 0.6 times
     Then its speed is from 1.0 to 1.6
 
-  Scenario: An owner with few calls of its own does not judge an engine
-    Its forecasts are priors: one engine was published as twice as slow as it is.
+  Scenario: An owner with few calls of its own does not estimate a speed
+    Its forecasts are mostly priors, by which it published an engine as twice as slow as it is.
 
     When an owner that has seen 3 calls gets reports of times of 3 s
     Then its speed is from 0 to 0
@@ -55,15 +55,15 @@
   Scenario: An owner learns from what daemons report, and publishes it
     Given an owner whose calls take 0.1 s, with 0.05 s between events
     When 5 daemons report first events after 0.16 s and events each 0.08 s
-    Then what it tells of the engine names a speed from 1.3 to 1.7
+    Then its updates on the engine state a speed from 1.3 to 1.7
 
-  Scenario: A report holds the latest first events and all pauses
-    When a daemon sees 20 first events and 40 pauses of 0.05 s before it reports
-    Then the report names the last 8 first events, and 40 pauses of 2 s in all
-    And the next report names none
+  Scenario: A report contains the latest first events and all gaps
+    When a daemon sees 20 first events and 40 gaps of 0.05 s before it reports
+    Then the report contains the last 8 first events, and 40 gaps of 2 s in all
+    And the next report is empty
 
-  Scenario Outline: What daemons see reaches the engine's owner: learn_speeds <learn>
-    When daemons' streams begin after 0.2 s with events each 0.1 s, and speeds are learnt: <learn>
+  Scenario Outline: Reports of daemons reach the engine's owner: learn_speeds <learn>
+    When daemons' streams begin after 0.2 s with events each 0.1 s, and speeds are learned: <learn>
     Then their owner holds a speed from <least> to <most>, and logs it <lines> times
 
     Examples:
--- a/features/speeds/steps/learning_steps.py
+++ b/features/speeds/steps/learning_steps.py
@@ -41,15 +41,15 @@
     ]
 
 
-@when("of them {stray}")
-def of_them(context, stray):
-    more = 3 if "sends 3 times" in stray else 1
+@when("of them {deviation}")
+def of_them(context, deviation):
+    more = 3 if "sends 3 times" in deviation else 1
     for number, (daemon, times, at_s) in enumerate(context.seen):
-        wrong = daemon == "h1" and "one daemon" in stray
-        if "15%" in stray and number % 7 == 3:
+        wrong = daemon == "h1" and "one daemon" in deviation
+        if "15%" in deviation and number % 7 == 3:
             times *= 2.5
         if wrong:
-            times = float("nan") if "nan" in stray else 6.0
+            times = float("nan") if "nan" in deviation else 6.0
         for _ in range(more if wrong else 1):
             see(context.speed, daemon, times, at_s)
 
@@ -62,7 +62,7 @@
 
 
 @when("after that one response a minute takes {times:g} times, for {minutes:d} minutes")
-def now_and_then(context, times, minutes):
+def once_a_minute(context, times, minutes):
     for _ in range(minutes):
         context.now_s += 60
         see(context.speed, "h1", times, context.now_s)
@@ -74,15 +74,15 @@
 
 
 @then("it {is_or_not} in a slow period")
-def in_spell(context, is_or_not):
+def in_slow_period(context, is_or_not):
     found = context.speed.is_in_slow_period(context.now_s)
     assert found == (is_or_not == "is"), context.speed.slow_period_ratio(context.now_s)
 
 
 @when(
-    "an owner begins at {published:g}, and sees 2 responses that take {times:g} times"
+    "an owner starts from {published:g}, and sees 2 responses that take {times:g} times"
 )
-def begins_at(context, published, times):
+def starts_from(context, published, times):
     context.speed = EngineSpeed()
     context.speed.set_prior(published)
     assert context.speed.speed == published
@@ -125,19 +125,21 @@
         context.reports.take("h9", [], [20.0, wrong], NOW_S)
 
 
-@then("what it tells of the engine names a speed from {least:g} to {most:g}")
-def told(context, least, most):
+@then("its updates on the engine state a speed from {least:g} to {most:g}")
+def updates_state(context, least, most):
     updates = EngineUpdates(EndpointStart("e1", 0), 1, context.keeper)
-    told = updates.tell(["h1"], False, NOW_S)
+    sent_updates = updates.tell(["h1"], False, NOW_S)
     updates.mark_calls_changed()
-    told += updates.tell(["h1"], False, NOW_S + 1)
-    kinds = {tag_of(each.message) for each in told}
+    sent_updates += updates.tell(["h1"], False, NOW_S + 1)
+    kinds = {tag_of(each.message) for each in sent_updates}
     assert kinds == {"EngineTold", "EngineChanged"}, kinds
-    assert all(least <= each.message.speed <= most for each in told), told
+    assert all(least <= each.message.speed <= most for each in sent_updates), (
+        sent_updates
+    )
 
 
 @when(
-    "a daemon sees {firsts:d} first events and {gaps:d} pauses of {s:g} s "
+    "a daemon sees {firsts:d} first events and {gaps:d} gaps of {s:g} s "
     "before it reports"
 )
 def observed(context, firsts, gaps, s):
@@ -149,8 +151,8 @@
 
 
 @then(
-    "the report names the last {most:d} first events, "
-    "and {gaps:d} pauses of {s:g} s in all"
+    "the report contains the last {most:d} first events, "
+    "and {gaps:d} gaps of {s:g} s in all"
 )
 def report(context, most, gaps, s):
     first_events, found = context.observed.take(context.start)
@@ -158,13 +160,13 @@
     assert found[0] == gaps and abs(found[1] - s) < 1e-9, found
 
 
-@then("the next report names none")
+@then("the next report is empty")
 def no_report(context):
     assert context.observed.take(context.start) == ([], [])
 
 
 def make_hub(learn):
-    """Return what the two sides of a report need of a daemon."""
+    """Return a hub with the attributes that sending and receiving reports need."""
     fleet, lines = Fleet(), []
     fleet.speeds.enabled = learn
     record = EndpointRecord("e1", "llm", "127.0.0.1:1", "d1", 12, False, ("m",))
@@ -185,7 +187,7 @@
 
 
 async def reported(hub, s, gap):
-    """Return the message of a daemon whose streams on e1 took so long."""
+    """Return the messages of a daemon whose streams on e1 take so long."""
     sent = []
 
     async def send(daemon, message):
@@ -207,7 +209,7 @@
 
 @when(
     "daemons' streams begin after {s:g} s with events each {gap:g} s, "
-    "and speeds are learnt: {learn}"
+    "and speeds are learned: {learn}"
 )
 def streams_seen(context, s, gap, learn):
     context.hub = make_hub(learn == "yes")
--- a/features/speeds/steps/load_steps.py
+++ b/features/speeds/steps/load_steps.py
@@ -15,7 +15,7 @@
     loads_at_once=24,
     mixes=tuple(replace(mix, per_s=SHARE * mix.per_s) for mix in SITES["uneven"].mixes),
 )
-ALIKE = replace(UNEVEN, speeds=(1.0,), slow_share=0.0)
+EQUAL = replace(UNEVEN, speeds=(1.0,), slow_share=0.0)
 
 
 def play_both(context, site, seeds):
@@ -28,17 +28,19 @@
     ]
 
 
-@when("the uneven pool is played with {seeds:d} seeds, with learnt speeds and without")
+@when(
+    "the uneven pool is simulated with {seeds:d} seeds, with learned speeds and without"
+)
 def play_uneven(context, seeds):
     play_both(context, UNEVEN, seeds)
 
 
 @when(
-    "a pool of engines that are alike is played with {seeds:d} seeds, "
-    "with learnt speeds and without"
+    "a pool of equal engines is simulated with {seeds:d} seeds, "
+    "with learned speeds and without"
 )
-def play_alike(context, seeds):
-    play_both(context, ALIKE, seeds)
+def play_equal(context, seeds):
+    play_both(context, EQUAL, seeds)
 
 
 def shares(context):
@@ -51,20 +53,20 @@
 
 @then("with them at least {more:g} more are answered in time")
 def more_in_time(context, more):
-    learnt, alike = shares(context)
-    print("in time", learnt, alike)
-    assert learnt >= alike + more, (learnt, alike)
+    learned, unlearned = shares(context)
+    print("in time", learned, unlearned)
+    assert learned >= unlearned + more, (learned, unlearned)
 
 
 @then("with them at most {fewer:g} fewer are answered in time")
 def hardly_fewer(context, fewer):
-    learnt, alike = shares(context)
-    print("in time", learnt, alike)
-    assert learnt >= alike - fewer, (learnt, alike)
+    learned, unlearned = shares(context)
+    print("in time", learned, unlearned)
+    assert learned >= unlearned - fewer, (learned, unlearned)
 
 
 @then("at most {part:g} times as many streams pause too long")
 def fewer_pause(context, part):
-    learnt, alike = (sum(each.paused for each in found) for found in context.found)
-    print("paused", learnt, alike)
-    assert learnt <= part * alike, (learnt, alike)
+    learned, unlearned = (sum(each.paused for each in found) for found in context.found)
+    print("paused", learned, unlearned)
+    assert learned <= part * unlearned, (learned, unlearned)
--- a/features/speeds/steps/using_steps.py
+++ b/features/speeds/steps/using_steps.py
@@ -40,7 +40,7 @@
         )
         context.engines.append(context.fleet.listed(record, NOW_S))
     for order in (1, 2):
-        # The median is that of the first round, once it is due again.
+        # The second round recomputes the median from the speeds of the first.
         for engine, speed in zip(context.engines, speeds, strict=True):
             told = EngineTold(
                 engine.name, 1, order, [], 3, 0, 8, 0, ["m"], started_ms=1, speed=speed
@@ -55,8 +55,8 @@
     publish(context, [float(each) for each in published.split()])
 
 
-@when('speeds are not learnt, and owners publish the speeds "{published}"')
-def not_learnt(context, published):
+@when('speeds are not learned, and owners publish the speeds "{published}"')
+def not_learned(context, published):
     publish(context, [float(each) for each in published.split()], enabled=False)
 
 
@@ -66,7 +66,7 @@
     assert abs(found - speed) < 1e-9, found
 
 
-@then("a relay hands on {speed:g}")
+@then("a relay forwards {speed:g}")
 def relayed(context, speed):
     endpoint = context.fleet.endpoints[context.last]
     assert context.fleet.build_snapshot(endpoint, context.now_s).speed == speed
@@ -77,14 +77,14 @@
     assert context.fleet.restarted(EndpointStart(context.last, 2), context.now_s)
 
 
-@when("its owner tells nothing for {s:g} s")
+@when("its owner sends no update for {s:g} s")
 def owner_silent(context, s):
     engines = context.fleet.reachable("llm", context.now_s + s)
     context.fleet.estimate_load(engines, 9, False, context.now_s + s)
 
 
-@when("its owner tells that it is unknown")
-def told_unknown(context):
+@when("its owner publishes it as unknown")
+def published_unknown(context):
     changed = EngineChanged(context.last, 1, 3, [], [], 0, 0, 8, 0, ["m"], 1)
     assert context.fleet.apply_update(changed, context.now_s)
 
--- a/features/speeds/using.feature
+++ b/features/speeds/using.feature
@@ -1,6 +1,6 @@
 Feature: Daemons use the speeds that owners publish
 
-  Scenario Outline: A published speed counts in times of the service's median: <story>
+  Scenario Outline: A published speed is relative to the service's median: <story>
     When owners publish the speeds "<published>"
     Then the last of these engines has the speed <speed>
 
@@ -19,7 +19,7 @@
       | alone                     | 3.0                  | 1.0   |
 
   Scenario Outline: A speed is unknown again: <cause>
-    A speed of another start, or of an owner that is gone, steered calls for ever.
+    The speed of an earlier start, or from an owner that is gone, affected placement forever.
 
     When owners publish the speeds "1.0 1.0 1.6"
     And <cause>
@@ -28,13 +28,13 @@
     Examples:
       | cause                                    |
       | the engine starts again                  |
-      | its owner tells nothing for 3.1 s        |
-      | its owner tells that it is unknown       |
+      | its owner sends no update for 3.1 s      |
+      | its owner publishes it as unknown        |
 
-  Scenario: Without the setting all engines are alike
-    When speeds are not learnt, and owners publish the speeds "1.0 1.0 1.6"
+  Scenario: Without the setting all engines count as equal
+    When speeds are not learned, and owners publish the speeds "1.0 1.0 1.6"
     Then the last of these engines has the speed 0.0
-    And a relay hands on 1.6
+    And a relay forwards 1.6
 
   Scenario Outline: The setting learn_speeds is "<text>"
     When settings hold "<text>" for learn_speeds
@@ -47,18 +47,18 @@
       | no    | read as no      |
       | maybe | refused         |
 
-  Scenario: Forecasts and the pace of prompts are those of the engine itself
+  Scenario: Forecasts and the pacing of prompts use the engine's own speed
     When owners publish the speeds "1.0 1.0 2.0"
     Then a first event, a wait for a slot and the reading of a token take 2 times as long there
 
-  Scenario: What a slow engine shows is not taken for the service's
+  Scenario: A slow engine does not change the forecasts for the service
     When owners publish the speeds "1.0 1.0 2.0"
     And 60 calls there take 2 times as long as forecast
     Then the first forecast of another engine differs by at most 5%
 
   Scenario Outline: A prompt goes to an engine that it does not pause: <story>
     A prompt whose reading takes 0.2 s on the usual engine paused all streams of a slow
-    one for 0.4 s, which is longer than the 0.3 s that their users accept.
+    one for 0.4 s, longer than the 0.3 s that their users accept.
 
     Given engines of speeds 1.0, 1.0 and <speeds> that run 3 calls each
     When a prompt of <tokens> tokens comes, and the usual engines are <others>
--- a/packages/core/src/knapweedbridge_core/serving/endpoint.py
+++ b/packages/core/src/knapweedbridge_core/serving/endpoint.py
@@ -1,4 +1,4 @@
-"""What a daemon believes of one endpoint: what it holds, runs, and how it answers."""
+"""State of one endpoint as a daemon knows it: adapters, load, failures."""
 
 import math
 from collections import deque
@@ -10,38 +10,40 @@
 from knapweedbridge_core.serving.model_ref import ModelRef
 from knapweedbridge_core.serving.recent_adapters import RecentAdapters
 
-SUSPECT_FIRST_S = 0.5
-"""Pause after a first failed connection: a restart of an endpoint takes seconds."""
+BACKOFF_FIRST_S = 0.5
+"""Back-off after a first failed connection: restarts of endpoints take seconds."""
 
-SUSPECT_LONGEST_S = 2.0
-"""Longest pause, so that an endpoint that is back is found within it."""
+BACKOFF_LONGEST_S = 2.0
+"""Longest back-off, and so the longest time until an endpoint that is back is found."""
 
 UPDATE_MAX_AGE_S = 3.0
-"""Age of an owner's last telling past which an engine is known by the platform's list
-alone. Owners tell a small pool each change, the relays of a large one each second."""
+"""Age of the owner's last update past which only the platform's list is used. Owners
+publish each change in a small pool, and their relays one update each second in a
+large one."""
 
 LOAD_MAX_AGE_S = 1.0
-"""How long an owner's word of the calls of all daemons holds; it tells of changes
-within 0.06 s, so after this there were none, or there is no owner."""
+"""How long the owner's count of the calls of all daemons is valid. Owners publish
+changes within 0.06 s, so an older count means that nothing changed or that there is
+no owner."""
 
-OWNER_ANSWERS_S = 0.15
-"""An owner answers each question at once, over a way of some milliseconds; its lease
-outlives it by seconds, in which its engines would get no orders."""
+OWNER_RESPONSE_TIMEOUT_S = 0.15
+"""Owners respond to requests at once, over links of a few milliseconds. The lease of an
+owner that stopped outlives it by seconds, in which its engines get no orders."""
 
 REPORT_DELAY_S = 0.15
-"""How long an owner's telling that goes to many is on its way by a relay: what a daemon
-told its owner later than that is not counted in it yet."""
+"""How long an owner's update takes that relays distribute to many daemons: it doesn't
+yet count what a daemon reported to the owner later than that."""
 
 MAX_REPORTS_KEPT = 4
-"""Own counts that are remembered: they are told some ten times a second at most."""
+"""Own reports that are kept: at most about ten are sent per second."""
 
 FAILURE_HALF_LIFE_S = 3.0
-"""Half-life of the share of failures, so that one bad second is soon forgotten."""
+"""Half-life of the failure share, so that one bad second stops counting soon."""
 
 
 @dataclass(slots=True)
 class HeldAdapter:
-    """An adapter on an engine, from ``ready_s`` on, with the calls that run on it."""
+    """An adapter that an engine holds from ``ready_s`` on, and its running calls."""
 
     version: int
     ready_s: float
@@ -51,9 +53,9 @@
 
 @dataclass(slots=True, frozen=True)
 class ReportedLoad:
-    """What a daemon told an engine's owner of its own calls, and when."""
+    """Own calls that a daemon reported to an engine's owner, and when."""
 
-    told_s: float
+    sent_s: float
     calls: int
     unread_tokens: int
 
@@ -63,43 +65,44 @@
 
 @dataclass(slots=True, eq=False)
 class Endpoint:
-    """What is believed of one endpoint; two are equal only if they are the same one.
+    """State of one endpoint; compared by identity.
 
-    Compared field by field, a placement among 6,000 engines took 37 ms, by identity it
-    takes 20 ms; among 62 it took 0.29 ms and takes 0.25 ms.
+    Comparison field by field made a placement among 6,000 engines take 37 ms rather
+    than 20 ms, and one among 62 engines 0.29 ms rather than 0.25 ms.
 
     Parameters
     ----------
     record : EndpointRecord
-        What the platform says.
+        The platform's entry.
     held : dict of ModelRef to HeldAdapter
-        Adapters as the owner tells, or as the list told first.
+        Adapters by the owner's updates, or by the platform's list until the first
+        one.
     recent : RecentAdapters
-        Adapters that it held lately; it has them in memory.
+        Adapters that the engine held recently and still has in memory.
     own_calls : int
         Calls of this daemon that run there.
     others_calls : int
-        Calls of other daemons, as the owner tells.
+        Calls of other daemons, by the owner's updates.
     own_unread_tokens, others_unread_tokens : int
-        Tokens of prompts that the engine has yet to read, of this daemon's calls and
-        of others'.
+        Prompt tokens that the engine has yet to read, of this daemon's calls and of
+        others'.
     slowness, slowness_s : float
-        Times as slow as the others' first events that its own came, and when that was
-        seen last; see `engine_rates`.
+        Ratio of its times to a first event to those of other engines, and when it
+        was last observed; see `engine_rates`.
     speed : float
-        Times that it takes as long as its service's usual engine; 0.0: unknown.
+        Ratio of its times to those of its service's usual engine; 0.0: unknown.
     published_speed : float
-        What its owner published of that; see `service_speeds`.
+        Speed as its owner published it; see `service_speeds`.
     usable : bool
-        Whether its entry in the list can be read; if not, it gets no new work.
+        Whether its entry in the list can be parsed; if not, it gets no new work.
     answered_s : float
         When it last answered a call of this daemon.
     unlisted_s : float or None
-        When its entry was removed; None where it is listed.
+        When its entry was removed; None while it is listed.
     lapsed_until_s : float
-        Until when an entry that was removed is taken for one that lapsed.
+        Until when a removed entry is treated as one whose lease lapsed.
     pressure : Backpressure
-        What it asks for in its answers.
+        Limits that the endpoint states in its answers.
     """
 
     record: EndpointRecord
@@ -147,62 +150,65 @@
 
     @property
     def start(self) -> EndpointStart:
-        """Which start of which endpoint this is."""
+        """The start of the endpoint that this is."""
         return self.record.start
 
     def accepts_work(self, now_s: float) -> bool:
-        """Tell whether it may get new calls."""
+        """Return whether it may get new calls."""
         is_listed = now_s < self.lapsed_until_s
         return self.usable and not self.leaves and is_listed
 
     @property
     def leaves(self) -> bool:
-        """Whether its entry or one of its answers has told that it leaves."""
+        """Whether its entry or one of its answers says that it is leaving."""
         return self.record.leaving or self.pressure.leaves
 
     @property
     def listing(self) -> tuple[bool, bool, bool]:
-        """Whether its entry can be read, tells that it leaves, and is there at all.
+        """Whether its entry can be parsed, says that it leaves, and exists.
 
-        A relay hands on an entry that changes this: hearers were told of the removal.
+        A relay forwards an entry that changes this: its subscribers were told of the
+        removal.
         """
         return self.usable, self.record.leaving, self.unlisted_s is None
 
     def record_listed(self) -> None:
-        """Note that it has an entry."""
+        """Record that it has an entry."""
         self.unlisted_s, self.lapsed_until_s = None, math.inf
 
     def record_unlisted(self, now_s: float, lapsed_until_s: float) -> None:
-        """Note that its entry was removed, but may have lapsed."""
+        """Record that its entry was removed, perhaps only because it lapsed."""
         if self.unlisted_s is None:
             self.unlisted_s, self.lapsed_until_s = now_s, lapsed_until_s
 
     @property
     def calls(self) -> int:
-        """Calls that run there, of all daemons."""
+        """Calls of all daemons that run there."""
         return self.own_calls + self.others_calls
 
     def unlisted_for_s(self, now_s: float) -> float | None:
-        """Return for how long its entry has been missing; None where it is listed."""
+        """Return how long its entry has been missing; None while it is listed."""
         return None if self.unlisted_s is None else now_s - self.unlisted_s
 
     def record_owner_request(self, now_s: float) -> None:
-        """Note that its owner was asked for something, and has not answered yet."""
+        """Record a request to its owner that has no response yet."""
         if self.asked_s is None:
             self.asked_s = now_s
 
     def has_silent_owner(self, now_s: float) -> bool:
-        """Tell whether its owner left a question open: it may be frozen or cut off."""
-        return self.asked_s is not None and now_s - self.asked_s > OWNER_ANSWERS_S
+        """Return whether its owner left a request open: it may be frozen or cut off."""
+        return (
+            self.asked_s is not None and now_s - self.asked_s > OWNER_RESPONSE_TIMEOUT_S
+        )
 
     def coming(self, now_s: float) -> int:
-        """Return the adapters that are on their way there."""
+        """Return the number of adapters that are being loaded."""
         if self.loading_until_s <= now_s:
             return 0
         return sum(held.ready_s > now_s for held in self.held.values())
 
     def replace_adapters(self, held: dict[ModelRef, HeldAdapter]) -> None:
-        """Take what it holds now; what it held before stays in its memory."""
+        """Replace the held adapters; those no longer held stay in its memory."""
         for model in self.held:
             if model not in held:
                 self.recent.add(model)
@@ -214,14 +220,14 @@
         )
 
     def remove_adapter(self, model: ModelRef) -> None:
-        """Take that it holds an adapter no more, but in its memory."""
+        """Record that it no longer holds an adapter, except in its memory."""
         if self.held.pop(model, None) is not None:
             self.recent.add(model)
 
     def add_adapter(
         self, model: ModelRef, version: int, now_s: float, ready_in_s: float
     ) -> None:
-        """Take that it holds an adapter, or will after some seconds."""
+        """Record that it holds an adapter, or will in ``ready_in_s`` seconds."""
         known = self.held.get(model)
         ready_s = now_s + ready_in_s
         users = known.users if known else 0
@@ -230,20 +236,20 @@
         self.loading_until_s = max(self.loading_until_s, ready_s)
 
     def is_new(self, message: EngineTold) -> bool:
-        """Tell whether an owner's telling is newer than the last one taken."""
+        """Return whether an owner's snapshot is newer than the last update applied."""
         told = self.update_number, self.update_order
-        # One of the same order was asked for, and made later than the change.
+        # A snapshot of the same order was requested, and made after the change.
         return (message.number, message.order) >= told
 
     def is_next(self, message: EngineChanged) -> bool:
-        """Tell whether a change is the next after the last telling taken."""
+        """Return whether a change directly follows the last update applied."""
         following = self.update_number, self.update_order + 1
         return (message.number, message.order) == following
 
     def update_load(self, message: EngineTold | EngineChanged, now_s: float) -> None:
-        """Take the calls of other daemons and what else every telling holds."""
+        """Apply the other daemons' calls and the other fields of every update."""
         self.update_number, self.update_order = message.number, message.order
-        own = self._counted_in(now_s) if message.of_all else NO_REPORTED_LOAD
+        own = self._load_reported_by(now_s) if message.of_all else NO_REPORTED_LOAD
         self.others_calls = max(0, message.others_calls - own.calls)
         self.others_unread_tokens = max(
             0, message.others_unread_tokens - own.unread_tokens
@@ -257,30 +263,30 @@
         self.bases = set(message.bases)
 
     def record_reported_load(self, now_s: float) -> None:
-        """Note that the owner was told of this daemon's calls as they are."""
+        """Record that the owner was told of this daemon's current calls."""
         self.counted.append(ReportedLoad(now_s, self.own_calls, self.own_unread_tokens))
 
-    def _counted_in(self, now_s: float) -> ReportedLoad:
-        """Return what a telling that comes now counts as this daemon's own."""
+    def _load_reported_by(self, now_s: float) -> ReportedLoad:
+        """Return the own load that an update received now includes."""
         for each in reversed(self.counted):
-            if each.told_s <= now_s - REPORT_DELAY_S:
+            if each.sent_s <= now_s - REPORT_DELAY_S:
                 return each
         return NO_REPORTED_LOAD
 
     def has_recent_update(self, now_s: float) -> bool:
-        """Tell whether its owner told of it lately."""
+        """Return whether its owner sent a recent update."""
         return now_s - self.heard_s <= UPDATE_MAX_AGE_S
 
     def expire_speed(self, now_s: float) -> None:
-        """Take the speed for unknown where its owner has not told of it lately."""
+        """Reset the speed to unknown if its owner sent no recent update."""
         if self.published_speed and not self.has_recent_update(now_s):
             self.speed = self.published_speed = 0.0
 
     def estimate_others(self, daemons: int, now_s: float) -> None:
-        """Take others to send as much as this daemon, where no owner tells.
+        """Assume that others send as much as this daemon if the owner is silent.
 
-        After a restart of all daemons callers come at once. Each daemon knew only its
-        own calls, and sent all for a hot adapter to the one engine that has it.
+        After a restart of all daemons callers arrive at once. Each daemon knew only its
+        own calls, and all sent those for a hot adapter to the one engine that holds it.
         """
         if now_s - self.heard_s > LOAD_MAX_AGE_S:
             self.others_calls = self.own_calls * (daemons - 1)
@@ -288,7 +294,7 @@
 
     @property
     def unread_tokens(self) -> int:
-        """Tokens of prompts that the engine has yet to read."""
+        """Prompt tokens that the engine has yet to read."""
         return self.own_unread_tokens + self.others_unread_tokens
 
     def failing_share(self, now_s: float) -> float:
@@ -297,16 +303,16 @@
         return self.failure_share * 0.5 ** (age_s / FAILURE_HALF_LIFE_S)
 
     def record_result(self, failed: bool, now_s: float) -> None:
-        """Add one call's end to the share of failures."""
+        """Add the result of one call to the failure share."""
         share = self.failing_share(now_s)
         self.failure_share = share + 0.2 * ((1.0 if failed else 0.0) - share)
         self.failure_s = now_s
 
     def record_unreachable(self, now_s: float) -> None:
-        """Back off after a connection that could not be made or broke at once."""
-        pause_s = SUSPECT_FIRST_S * 2**self.failures_in_row
+        """Back off after a connection that failed or broke at once."""
+        pause_s = BACKOFF_FIRST_S * 2**self.failures_in_row
         self.failures_in_row = min(self.failures_in_row + 1, 8)
-        self.suspect_until_s = now_s + min(pause_s, SUSPECT_LONGEST_S)
+        self.suspect_until_s = now_s + min(pause_s, BACKOFF_LONGEST_S)
 
     def record_answer(self, now_s: float) -> None:
         """End the back-off: the endpoint answers."""
--- a/packages/core/src/knapweedbridge_core/serving/endpoint_paths.py
+++ b/packages/core/src/knapweedbridge_core/serving/endpoint_paths.py
@@ -1,33 +1,36 @@
-"""Which endpoints this host cannot reach itself, though other hosts do.
+"""Endpoints that this host cannot reach directly although other hosts can.
 
-A connection that fails does not tell whether the endpoint is gone or this host's link
-to it is. Another host's connection tells: where that stands and this host's fails, the
-path from here is cut, and the endpoint is used through the other host until it is back.
+A failed connection doesn't show whether the endpoint is gone or this host's link to it.
+Another host's connection does: if it succeeds where this host's fails, the path from
+here is cut, and the endpoint is reached through the other host until the path is back.
 """
 
 import math
 from dataclasses import dataclass
 
-CONFIRMING_FAILURES = 2
-"""Failures in a row that confirm a cut path: one opening packet may be lost."""
+MIN_FAILURES_CONFIRMED = 2
+"""Failures in a row that confirm a cut path: a single SYN packet may be lost."""
 
-SUSPECT_PATHS = 3
-"""Cut paths with which a host tries endpoints that it has not found cut."""
+MIN_CUT_PATHS = 3
+"""Cut paths from which on a host probes the endpoints whose paths it has not found
+cut."""
 
 OTHERS_TO_TRY = 2
-"""Endpoints not found cut that must fail too before a host counts as without links."""
+"""Further endpoints that must fail too before a host counts as having lost all
+links."""
 
-DOUBTED_S = 2.0
-DOUBTED_ENDPOINTS = 2
-"""Endpoints that must fail within this time before other hosts are asked for them.
-Where one alone fails calls go to others; all hosts would ask for one that is gone."""
+DOUBT_WINDOW_S = 2.0
+MIN_DOUBTED_ENDPOINTS = 2
+"""Endpoints that must fail within `DOUBT_WINDOW_S` before other hosts are asked to
+reach them. If only one fails, its calls go to other endpoints: all hosts would ask
+for one that is gone."""
 
 ASK_AGAIN_S = 0.5
-"""Pause after which other hosts are asked again for an endpoint that they do not reach
-either; calls go elsewhere meanwhile."""
+"""Pause before other hosts are asked again for an endpoint that they don't reach
+either; calls go to other endpoints meanwhile."""
 
-LINKED_S = 0.5
-"""How long an answer of an endpoint shows that this host has links."""
+LINK_PROOF_MAX_AGE_S = 0.5
+"""How long an answer of an endpoint proves that this host has links."""
 
 
 @dataclass(slots=True)
@@ -39,7 +42,7 @@
     tried_s : float
         When the last direct connection failed, on the daemon's clock.
     failures : int
-        Direct connections that have failed in a row.
+        Direct connections that failed in a row.
     """
 
     tried_s: float
@@ -47,8 +50,8 @@
 
     @property
     def is_confirmed(self) -> bool:
-        """Whether more than one direct connection has failed."""
-        return self.failures >= CONFIRMING_FAILURES
+        """Whether more than one direct connection failed."""
+        return self.failures >= MIN_FAILURES_CONFIRMED
 
 
 class EndpointPaths:
@@ -57,9 +60,9 @@
     Attributes
     ----------
     has_lost_links : bool
-        Whether this host reaches no endpoint itself, as far as it has tried.
+        Whether this host reaches no endpoint directly, as far as it has tried.
     linked_s : float
-        When an endpoint last answered over a link of this host, on the daemon's clock.
+        When an endpoint last answered over a direct link, on the daemon's clock.
     """
 
     __slots__ = (
@@ -83,24 +86,24 @@
         return len(self._cut)
 
     def is_cut(self, address: str) -> bool:
-        """Return whether an endpoint is reached through other hosts alone."""
+        """Return whether an endpoint is reached only through other hosts."""
         return address in self._cut
 
     def is_confirmed(self, address: str) -> bool:
-        """Return whether a path is surely cut, or all of them are."""
+        """Return whether a path is confirmed as cut, or all links are lost."""
         path = self._cut.get(address)
         return self.has_lost_links or (path is not None and path.is_confirmed)
 
     @property
     def may_all_be_cut(self) -> bool:
-        """Whether endpoints not found cut are to be tried, as all may be."""
+        """Whether to probe the other endpoints, as all paths may be cut."""
         if self.has_lost_links:
             return False
         confirmed = sum(path.is_confirmed for path in self._cut.values())
-        return len(self._cut) >= SUSPECT_PATHS or confirmed >= CONFIRMING_FAILURES
+        return len(self._cut) >= MIN_CUT_PATHS or confirmed >= MIN_FAILURES_CONFIRMED
 
     def record_cut(self, address: str, now_s: float) -> bool:
-        """Record that a direct connection failed where another host's stands.
+        """Record that a direct connection failed while another host's succeeded.
 
         Returns
         -------
@@ -114,19 +117,19 @@
         return True
 
     def record_retry_failure(self, address: str, now_s: float) -> None:
-        """Record that a path that is cut was tried in vain."""
+        """Record that a retry over a cut path failed."""
         path = self._cut.get(address)
         if path is not None:
             path.tried_s = now_s
             path.failures += 1
 
     def record_other_failures(self, tried: int) -> None:
-        """Record that as many endpoints that were not found cut failed, in a row.
+        """Record that endpoints whose paths were not found cut failed in a row.
 
         Parameters
         ----------
         tried : int
-            How many; 0: there is none that was not found cut.
+            Number of them; 0: all paths were found cut.
         """
         self._others_failed += tried
         are_enough = self._others_failed >= OTHERS_TO_TRY or tried == 0
@@ -135,13 +138,14 @@
         )
 
     def is_linked(self, now_s: float) -> bool:
-        """Return whether this host has reached an endpoint of late."""
-        return now_s - self.linked_s <= LINKED_S
+        """Return whether this host reached an endpoint recently."""
+        return now_s - self.linked_s <= LINK_PROOF_MAX_AGE_S
 
     def record_direct(self, address: str, now_s: float) -> bool:
         """Record a direct connection; return whether its path had been cut.
 
-        A host that had lost its links tries all paths again: they come back together.
+        A host that had lost its links tries all paths again, as they come back
+        together.
         """
         self.linked_s = now_s
         self._others_failed = 0
@@ -153,7 +157,7 @@
         return was_cut
 
     def next_to_try(self) -> str | None:
-        """Return the address of the cut path to try, those not confirmed yet first."""
+        """Return the address of the next cut path to try, unconfirmed ones first."""
         return min(
             self._cut,
             key=lambda address: (
@@ -169,24 +173,24 @@
         return all(path.is_confirmed for path in self._cut.values())
 
     def record_doubt(self, address: str, now_s: float) -> None:
-        """Record that a direct connection failed, or does not stand soon."""
+        """Record that a direct connection failed or is slow to open."""
         self._doubted_s[address] = now_s
 
     def may_be_unlinked(self, now_s: float) -> bool:
-        """Return whether it may be this host whose links are lost."""
-        recent = (now_s - at_s <= DOUBTED_S for at_s in self._doubted_s.values())
-        return len(self._cut) + sum(recent) >= DOUBTED_ENDPOINTS
+        """Return whether this host itself may have lost its links."""
+        recent = (now_s - at_s <= DOUBT_WINDOW_S for at_s in self._doubted_s.values())
+        return len(self._cut) + sum(recent) >= MIN_DOUBTED_ENDPOINTS
 
     def record_unreached(self, address: str, now_s: float) -> None:
-        """Record that another host does not reach an endpoint either."""
+        """Record that another host doesn't reach an endpoint either."""
         self._unreached_s[address] = now_s
 
     def may_ask(self, address: str, now_s: float) -> bool:
-        """Return whether other hosts are asked for a connection to an endpoint."""
+        """Return whether other hosts may be asked for a connection to an endpoint."""
         return now_s - self._unreached_s.get(address, -math.inf) > ASK_AGAIN_S
 
     def keep_only(self, addresses: set[str]) -> None:
-        """Forget the paths to endpoints that are gone."""
+        """Remove the paths to endpoints that are gone."""
         for known in (self._cut, self._unreached_s, self._doubted_s):
             for address in known.keys() - addresses:
                 del known[address]
--- a/packages/core/src/knapweedbridge_core/serving/endpoint_records.py
+++ b/packages/core/src/knapweedbridge_core/serving/endpoint_records.py
@@ -1,4 +1,4 @@
-"""An endpoint as the platform lists it, and which of its starts that is about."""
+"""Entries of the platform's list of endpoints, and the start each is about."""
 
 from dataclasses import dataclass, field
 
@@ -7,55 +7,55 @@
 
 @dataclass(slots=True, frozen=True)
 class EndpointStart:
-    """One start of an endpoint: it may start again under the same id.
+    """One start of an endpoint, which may start again under the same id.
 
     Parameters
     ----------
     started_ms : int
-        As in `EndpointRecord`.
+        See `EndpointRecord`.
     """
 
     endpoint: str
     started_ms: int
 
     def may_be(self, other: "EndpointStart") -> bool:
-        """Tell whether two are one and the same, as far as is told of them."""
-        told = self.started_ms and other.started_ms
-        same = not told or self.started_ms == other.started_ms
+        """Return whether two starts may be the same, as far as they are known."""
+        known = self.started_ms and other.started_ms
+        same = not known or self.started_ms == other.started_ms
         return self.endpoint == other.endpoint and same
 
     def is_before(self, other: "EndpointStart") -> bool:
-        """Tell whether this is surely an earlier start than another."""
+        """Return whether this is certainly an earlier start than another."""
         return 0 < self.started_ms < other.started_ms
 
 
 @dataclass(slots=True, frozen=True)
 class EndpointRecord:
-    """One endpoint as the platform lists it.
+    """The platform's entry for one endpoint.
 
     Parameters
     ----------
     endpoint : str
-        Id of this start of the endpoint.
+        Id of the endpoint.
     service : str
         Name of its service.
     address : str
-        IP number and port.
+        IP address and port.
     data_centre : str
-        Where it stands.
+        Its data centre.
     slots : int
-        Requests it runs at once.
+        Requests that it runs at once.
     leaving : bool
-        Whether it takes no new work.
+        Whether it accepts no new work.
     bases : tuple of str
         Base models that it holds.
     adapters : dict of ModelRef to int
         Adapters that it holds, and their versions.
     started_ms : int
-        Unix time of its start in milliseconds, which tells starts under one id apart;
-        0 where it is not told.
+        Unix time of its start in milliseconds, which distinguishes starts under one
+        id; 0 if not stated.
     software : str
-        Version of its software. Events of two versions do not fit into one stream.
+        Version of its software. Events of two versions don't fit into one stream.
     """
 
     endpoint: str
@@ -71,5 +71,5 @@
 
     @property
     def start(self) -> EndpointStart:
-        """Which start of which endpoint this is of."""
+        """The start of the endpoint that this entry is about."""
         return EndpointStart(self.endpoint, self.started_ms)
--- a/packages/core/src/knapweedbridge_core/serving/engine_calls.py
+++ b/packages/core/src/knapweedbridge_core/serving/engine_calls.py
@@ -1,4 +1,4 @@
-"""The calls that daemons tell an engine's owner of."""
+"""Calls on one engine that daemons report to its owner."""
 
 from collections import Counter
 
@@ -6,9 +6,9 @@
 from knapweedbridge_core.serving.model_ref import ModelRef
 
 CALLS_MAX_AGE_S = 2.5
-"""How long a daemon's word of its calls stands: it is repeated each second. One that
-is cut off from the store goes on serving, so its lapsed record says nothing of them.
-"""
+"""How long a daemon's report of its calls is valid; it is repeated each second. A
+daemon that is cut off from the store goes on serving, so its lapsed store record
+says nothing about its calls."""
 
 
 class EngineCalls:
@@ -16,55 +16,55 @@
 
     def __init__(self) -> None:
         self._by_daemon: dict[str, DaemonCalls] = {}
-        self._users: Counter[ModelRef] = Counter()
-        self._silent_from_s = float("inf")
+        self._calls: Counter[ModelRef] = Counter()
+        self._oldest_expires_s = float("inf")
 
     def take(
         self, daemon: str, calls: dict[ModelRef, int], unread_tokens: int, now_s: float
     ) -> list[ModelRef]:
-        """Take all calls of one daemon; return the models that it has others on."""
+        """Replace the calls of one daemon; return the models whose count changed."""
         known = self._by_daemon.get(daemon)
         before = known.calls if known else {}
         self._by_daemon[daemon] = DaemonCalls(calls, unread_tokens, now_s)
-        self._silent_from_s = min(self._silent_from_s, now_s + CALLS_MAX_AGE_S)
+        self._oldest_expires_s = min(self._oldest_expires_s, now_s + CALLS_MAX_AGE_S)
         if before == calls:
             return []
-        self._count(before, calls)
+        self._recount(before, calls)
         return [
             model
             for model in {*before, *calls}
             if before.get(model) != calls.get(model)
         ]
 
-    def _count(self, before: dict[ModelRef, int], calls: dict[ModelRef, int]) -> None:
-        self._users.subtract(before)
-        self._users.update(calls)
+    def _recount(self, before: dict[ModelRef, int], calls: dict[ModelRef, int]) -> None:
+        self._calls.subtract(before)
+        self._calls.update(calls)
         for model in before:
-            if not self._users[model]:
-                del self._users[model]
+            if not self._calls[model]:
+                del self._calls[model]
 
     def forget_silent(self, now_s: float) -> None:
-        """Drop the calls of daemons that tell of them no more."""
-        if now_s < self._silent_from_s:
+        """Remove the calls of daemons that no longer report any."""
+        if now_s < self._oldest_expires_s:
             return
         for daemon, known in list(self._by_daemon.items()):
             if now_s - known.heard_s > CALLS_MAX_AGE_S:
                 self.forget(daemon)
         heard = (each.heard_s for each in self._by_daemon.values())
-        self._silent_from_s = min(heard, default=now_s) + CALLS_MAX_AGE_S
+        self._oldest_expires_s = min(heard, default=now_s) + CALLS_MAX_AGE_S
 
     def forget(self, daemon: str) -> None:
-        """Drop the calls of a daemon that is gone."""
+        """Remove the calls of a daemon that is gone."""
         known = self._by_daemon.pop(daemon, None)
         if known is not None:
-            self._count(known.calls, {})
+            self._recount(known.calls, {})
 
     def users(self, model: ModelRef) -> int:
-        """Return the calls that run on a model."""
-        return self._users[model]
+        """Return the number of calls that run on a model."""
+        return self._calls[model]
 
     def load_by_daemon(self) -> dict[str, tuple[int, int]]:
-        """Return calls and unread tokens, by daemon."""
+        """Return the numbers of calls and unread tokens, by daemon."""
         return {
             daemon: (sum(known.calls.values()), known.unread_tokens)
             for daemon, known in self._by_daemon.items()
--- a/packages/core/src/knapweedbridge_core/serving/engine_orders.py
+++ b/packages/core/src/knapweedbridge_core/serving/engine_orders.py
@@ -1,4 +1,4 @@
-"""What passes between an engine and its owner: orders, answers and reports."""
+"""Orders, answers and reports, which an engine and its owner exchange."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -7,14 +7,14 @@
 
 
 class OrderKind(Enum):
-    """What an order does."""
+    """Operation of an order."""
 
     LOAD = "load"
     UNLOAD = "unload"
 
 
 class OrderAnswer(Enum):
-    """How an engine answered an order."""
+    """Answer of an engine to an order."""
 
     STARTED = "started"
     DONE = "done"
@@ -25,7 +25,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Order:
-    """One order to an engine.
+    """An order to an engine.
 
     Parameters
     ----------
@@ -36,7 +36,7 @@
     version : int
         Version of the adapter to load; 0: the newest.
     sequence : int
-        Orders that the engine must have accepted before; else it refuses.
+        Number of orders that the engine has accepted before; it refuses others.
     """
 
     kind: OrderKind
@@ -47,24 +47,24 @@
 
 @dataclass(slots=True, frozen=True)
 class EngineReport:
-    """What an engine says of itself; it may be some hundred ms old.
+    """State of an engine in its own report, which may be some hundred ms old.
 
     Parameters
     ----------
     sequence : int
-        Orders accepted since its start.
+        Number of orders accepted since its start.
     bases : tuple of str
         Base models held.
     adapters, coming : dict of ModelRef to int
-        Adapters held and on their way, with versions.
+        Versions of the adapters held, and of those being loaded.
     busy : bool
         Whether a base model is being loaded or unloaded.
     queued, running : int
-        Calls that wait and run there.
+        Numbers of queued and running calls.
     cache_used_tokens : int
-        Tokens of memory that cannot yield.
+        Tokens of memory that cannot be evicted.
     started_ms : int
-        The start that it is about, as in `EndpointRecord`.
+        The start that the report is about; see `EndpointRecord`.
     """
 
     sequence: int
--- a/packages/core/src/knapweedbridge_core/serving/engine_places.py
+++ b/packages/core/src/knapweedbridge_core/serving/engine_places.py
@@ -1,4 +1,4 @@
-"""What an owner keeps of its engine: places, wishes for adapters, daemons' calls."""
+"""An owner's records of its engine: places, requested adapters, daemons' calls."""
 
 from dataclasses import dataclass
 
@@ -7,16 +7,16 @@
 
 @dataclass(slots=True)
 class Place:
-    """One place of an engine that is taken.
+    """An adapter place of an engine that is taken.
 
     Parameters
     ----------
     ready_s, due_s : float
-        When it is taken to be there, and when that was expected at first.
+        Current and first expectation of the load's end.
     fetched_s : float or None
-        When its load from the weight store began, where few were on their way.
+        When its fetch from the weight store began, if few loads ran then.
     tried_at_once : float
-        Loads that its time was planned to be served with; see `LoadPlan`.
+        Number of concurrent loads that its expected time assumes; see `LoadPlan`.
     """
 
     version: int
@@ -42,7 +42,7 @@
 
 @dataclass(slots=True)
 class DaemonCalls:
-    """Calls of one daemon on the engine, and when it told of them."""
+    """Calls of one daemon on the engine, and when it reported them."""
 
     calls: dict[ModelRef, int]
     unread_tokens: int
--- a/packages/core/src/knapweedbridge_core/serving/engine_rates.py
+++ b/packages/core/src/knapweedbridge_core/serving/engine_rates.py
@@ -1,8 +1,8 @@
-"""How long an engine takes to a call's first event, learnt from what calls showed.
+"""Forecasts of the time to a call's first event, learned from earlier calls.
 
-The load that this answers: engines of different makes. Constants that fit one make
-forecast 0.25 s of waiting on engines of another where none came: with 60 calls running,
-630 of 4,850 callers were refused, came back seconds later and were late by that.
+Engines differ in model. Constants that fit one model forecast 0.25 s of waiting on
+engines of another that had none: with 60 calls running, 630 of 4,850 callers were
+refused, came back seconds later and were late by that.
 """
 
 from abc import ABC, abstractmethod
@@ -13,37 +13,39 @@
 from knapweedbridge_core.serving.prompt_pacing import turn_wait_s
 
 HOLD_PRIOR_S = 1.2
-"""How long a call holds its slot; streams of the users' kinds last 0.6 to 4 s."""
+"""Prior of the time a call holds its slot; streams of the users' workloads last 0.6 to
+4 s."""
 
-HOLD_STEP = 0.05
-"""Weight of one call's time in the mean time that a slot is held."""
+HOLD_WEIGHT = 0.05
+"""Weight of one call in the mean time that a slot is held."""
 
-SLOW_STEP = 0.25
-"""Weight of one call in an engine's own slowness: four calls show a slow one."""
+SLOWNESS_WEIGHT = 0.25
+"""Weight of one call in an engine's own slowness: four calls reveal a slow one."""
 
-LEVEL_STEP = 0.03
-"""Weight of one call in what all engines of a service take in times of the forecast."""
+LEVEL_WEIGHT = 0.03
+"""Weight of one call in the mean ratio of times to forecasts over all engines of a
+service."""
 
-SLOW_MOST = 6.0
-"""Slowest that an engine is believed to be, in times of the others."""
+MAX_SLOWNESS = 6.0
+"""Largest slowness of an engine, as a ratio to the others."""
 
-SLOW_HALF_LIFE_S = 2.0
-"""Half-life of an engine's slowness where no call shows it: it is tried again."""
+SLOWNESS_HALF_LIFE_S = 2.0
+"""Half-life of an engine's slowness without new calls: the engine is tried again."""
 
-FITTED_CALLS = 12
-"""Calls from which on a fit tells how long the usual engine takes: with fewer it is
-mostly priors, which differ from what daemons with more calls have learnt."""
+MIN_FITTED_CALLS = 12
+"""Calls from which on a fit describes the usual engine: with fewer it consists mostly
+of priors, which differ from what daemons with more calls have learned."""
 
-GAP_STEP = 0.05
-"""Weight of one pause between events in the usual one; a stream has some forty, of
-about the same length, so few of them count and each little."""
+GAP_WEIGHT = 0.05
+"""Weight of one gap between events in the usual one; a stream has about forty gaps of
+about the same length, so few streams count and each gap counts little."""
 
-PROMPT_STEP = 0.05
+PROMPT_WEIGHT = 0.05
 """Weight of one prompt in the mean length of prompts."""
 
 
 class EngineRates(ABC):
-    """What is known of the speed of engines."""
+    """Forecasts of the times that engines take."""
 
     @abstractmethod
     def first_event_s(
@@ -51,12 +53,12 @@
     ) -> float:
         """Forecast the time from sending a call to its first event, in seconds.
 
-        The waits for its turn and for a slot are part of it.
+        It includes the waits for a turn and for a slot.
         """
 
     @abstractmethod
     def set_accepted_gaps(self, longest_s: dict[str, float]) -> None:
-        """Take the longest pause that streams accept, by service, in seconds."""
+        """Set the longest gap that streams accept, by service, in seconds."""
 
     @abstractmethod
     def hold_s(self, service: str) -> float:
@@ -68,11 +70,11 @@
 
     @abstractmethod
     def token_s(self, service: str) -> float:
-        """Return the time in which an engine reads one token of a prompt."""
+        """Return the time in which the usual engine reads one prompt token."""
 
     @abstractmethod
     def engine_token_s(self, endpoint: Endpoint) -> float:
-        """Return the time in which one engine reads one token of a prompt."""
+        """Return the time in which this engine reads one prompt token."""
 
     @abstractmethod
     def usual_first_event_s(
@@ -82,11 +84,11 @@
 
     @abstractmethod
     def usual_gap_s(self, service: str) -> float:
-        """Return the usual engine's pause between two events; 0.0: unknown."""
+        """Return the usual engine's gap between two events; 0.0: unknown."""
 
     @abstractmethod
     def accepted_gap_s(self, service: str) -> float:
-        """Return the longest pause that streams accept; 0.0: any."""
+        """Return the longest gap that streams accept; 0.0: any."""
 
     @abstractmethod
     def usual_prompt_tokens(self, service: str) -> float:
@@ -94,7 +96,7 @@
 
     @abstractmethod
     def record_gap(self, endpoint: Endpoint, gap_s: float) -> None:
-        """Take a pause between two events of a stream."""
+        """Record a gap between two events of a stream."""
 
     @abstractmethod
     def record_first_event(
@@ -105,19 +107,19 @@
         took_s: float,
         now_s: float,
     ) -> None:
-        """Take a call's first event, or that it did not come for some seconds.
+        """Record a call's first event, or that it has not come for some seconds.
 
         Parameters
         ----------
         unread_tokens : int
             Tokens that the engine had yet to read when the call was sent.
         took_s : float
-            Time since the call was sent, its wait for a turn left out.
+            Time since the call was sent, without its wait for a turn.
         """
 
     @abstractmethod
     def record_end(self, endpoint: Endpoint, took_s: float) -> None:
-        """Take how long a call that was answered held its slot."""
+        """Record how long an answered call held its slot."""
 
 
 class LearnedRates(EngineRates):
@@ -125,7 +127,7 @@
 
     def __init__(self) -> None:
         self._fits: dict[str, FirstEventFit] = {}
-        self._gap_s: dict[str, float] = {}
+        self._accepted_gap_s: dict[str, float] = {}
         self._hold_s: dict[str, float] = {}
         self._level: dict[str, float] = {}
         self._usual_gap_s: dict[str, float] = {}
@@ -144,8 +146,10 @@
         service = endpoint.record.service
         fit, unread = self._fit(service), endpoint.unread_tokens
         pace_tokens = endpoint.pace_tokens
-        turn_s = turn_wait_s(unread, pace_tokens, self._gap_s.get(service, 0.0))
-        # What waits for its turn is not before the engine yet.
+        turn_s = turn_wait_s(
+            unread, pace_tokens, self._accepted_gap_s.get(service, 0.0)
+        )
+        # Prompts that wait for their turn have not been sent to the engine yet.
         before = min(unread, pace_tokens) if turn_s else unread
         read_s = fit.forecast_s(prompt_tokens, before)
         read_s *= slowness(endpoint, now_s) * speed_factor(endpoint.speed)
@@ -153,7 +157,7 @@
 
     def set_accepted_gaps(self, longest_s: dict[str, float]) -> None:
         """See `EngineRates.set_accepted_gaps`."""
-        self._gap_s = longest_s
+        self._accepted_gap_s = longest_s
 
     def hold_s(self, service: str) -> float:
         """See `EngineRates.hold_s`."""
@@ -162,7 +166,7 @@
     def slot_wait_s(self, endpoint: Endpoint) -> float:
         """See `EngineRates.slot_wait_s`.
 
-        Of the calls that run, one ends each part of the time that a slot is held.
+        The running calls end evenly spread over the time that a slot is held.
         """
         slots = max(1, endpoint.record.slots)
         before = endpoint.calls + 1 - slots
@@ -184,19 +188,19 @@
     ) -> float | None:
         """See `EngineRates.usual_first_event_s`."""
         fit = self._fit(service)
-        if fit.calls < FITTED_CALLS:
+        if fit.calls < MIN_FITTED_CALLS:
             return None
         return fit.forecast_s(prompt_tokens, unread_tokens)
 
     def usual_gap_s(self, service: str) -> float:
         """See `EngineRates.usual_gap_s`."""
-        if self._fit(service).calls < FITTED_CALLS:
+        if self._fit(service).calls < MIN_FITTED_CALLS:
             return 0.0
         return self._usual_gap_s.get(service, 0.0)
 
     def accepted_gap_s(self, service: str) -> float:
         """See `EngineRates.accepted_gap_s`."""
-        return self._gap_s.get(service, 0.0)
+        return self._accepted_gap_s.get(service, 0.0)
 
     def usual_prompt_tokens(self, service: str) -> float:
         """See `EngineRates.usual_prompt_tokens`."""
@@ -208,7 +212,7 @@
         gap_s /= speed_factor(endpoint.speed)
         known_s = self._usual_gap_s.get(service, gap_s)
         gap_s = min(gap_s, OUTLIER_RATIO * known_s)
-        self._usual_gap_s[service] = known_s + GAP_STEP * (gap_s - known_s)
+        self._usual_gap_s[service] = known_s + GAP_WEIGHT * (gap_s - known_s)
 
     def record_first_event(
         self,
@@ -223,17 +227,17 @@
         service = endpoint.record.service
         took_s /= speed_factor(endpoint.speed)
         known = self._prompt_tokens.get(service, prompt_tokens)
-        self._prompt_tokens[service] = known + PROMPT_STEP * (prompt_tokens - known)
-        times = took_s / fit.forecast_s(prompt_tokens, unread_tokens)
-        # Where all engines are slower than forecast it is the forecast that is wrong.
+        self._prompt_tokens[service] = known + PROMPT_WEIGHT * (prompt_tokens - known)
+        ratio = took_s / fit.forecast_s(prompt_tokens, unread_tokens)
+        # If all engines are slower than forecast, the forecast is wrong.
         level = self._level.get(service, 1.0)
-        level += LEVEL_STEP * (min(times, SLOW_MOST) - level)
+        level += LEVEL_WEIGHT * (min(ratio, MAX_SLOWNESS) - level)
         self._level[service] = level
-        times /= max(1.0, level)
+        ratio /= max(1.0, level)
         slow = slowness(endpoint, now_s)
-        # What one engine's slowness explains says nothing of the others.
+        # The part that one engine's slowness explains doesn't apply to the others.
         fit.add_call(prompt_tokens, unread_tokens, took_s / slow)
-        endpoint.slowness = slow + SLOW_STEP * (_within(times) - slow)
+        endpoint.slowness = slow + SLOWNESS_WEIGHT * (_clamped(ratio) - slow)
         endpoint.slowness_s = now_s
 
     def record_end(self, endpoint: Endpoint, took_s: float) -> None:
@@ -241,14 +245,14 @@
         service = endpoint.record.service
         took_s /= speed_factor(endpoint.speed)
         known_s = self.hold_s(service)
-        self._hold_s[service] = known_s + HOLD_STEP * (took_s - known_s)
+        self._hold_s[service] = known_s + HOLD_WEIGHT * (took_s - known_s)
 
 
-def _within(times: float) -> float:
-    return min(SLOW_MOST, max(1.0, times))
+def _clamped(ratio: float) -> float:
+    return min(MAX_SLOWNESS, max(1.0, ratio))
 
 
 def slowness(endpoint: Endpoint, now_s: float) -> float:
-    """Return how many times as slow as others an engine is taken to be, 1 or more."""
+    """Return the decayed slowness of an engine as a ratio to others, 1 or more."""
     age_s = max(0.0, now_s - endpoint.slowness_s)
-    return 1.0 + (endpoint.slowness - 1.0) * 0.5 ** (age_s / SLOW_HALF_LIFE_S)
+    return 1.0 + (endpoint.slowness - 1.0) * 0.5 ** (age_s / SLOWNESS_HALF_LIFE_S)
--- a/packages/core/src/knapweedbridge_core/serving/engine_speed.py
+++ b/packages/core/src/knapweedbridge_core/serving/engine_speed.py
@@ -1,9 +1,9 @@
-"""How many times as long as its service's usual engine one engine takes.
+"""Speed of one engine: the ratio of its times to those of its service's usual engine.
 
-The load that this answers: engines of one service that take 0.6 to 1.6 times the usual
-time, each of them 2.5 times as long during 15% of its time, in periods of 0.6 s. One
-daemon of 71 sees an engine twice in half a minute, so its owner collects what all
-daemons saw. Medians leave the slow periods out, and a daemon that reports wrong times.
+Engines of one service take 0.6 to 1.6 times the usual time, and each of them takes 2.5
+times as long during 15% of its time, in periods of 0.6 s. One daemon of 71 calls an
+engine twice in half a minute, so its owner collects the observations of all daemons.
+Medians ignore the slow periods, and daemons that report wrong times.
 """
 
 import math
@@ -12,153 +12,154 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-SPEED_LEAST = 0.3
-SPEED_MOST = 6.0
-"""Bounds of what is believed."""
+MIN_SPEED = 0.3
+MAX_SPEED = 6.0
+"""Bounds of a speed."""
 
-ALIKE = 0.3
-"""Distance from 1.0 within which a speed counts as usual. In a crowd estimates of
-engines that are alike differ by as much, and a call that is moved for that leaves the
-engine that holds its adapter."""
+SPEED_TOLERANCE = 0.3
+"""Distance from 1.0 within which a speed counts as usual. Under heavy load estimates of
+equal engines differ by as much, and a call that is moved for that leaves the engine
+that holds its adapter."""
 
-UNKNOWN = 0.0
+UNKNOWN_SPEED = 0.0
 """Speed of an engine that is not known."""
 
-LASTING_S = 8.0
-"""How long an observation counts where newer ones come: a change shows after half of
-this, and of a period of 0.6 s too little is seen to move the median."""
+OBSERVATION_MAX_AGE_S = 8.0
+"""How long an observation counts while newer ones arrive: a change shows after half of
+this time, and a period of 0.6 s gives too few to move the median."""
 
-OBSERVED_MOST = 256
-"""Observations that are kept. An engine of 32 slots gives 20 a second in a crowd; with
-64 of them a crowd of 3 s, in which each step takes longer, passed for a slow engine."""
+MAX_OBSERVATIONS = 256
+"""Observations kept at most. An engine of 32 slots gives 20 a second under heavy load;
+with 64 kept, an overload of 3 s, in which each step takes longer, passed for a slow
+engine."""
 
-OBSERVED_LEAST = 24
-"""Observations that are kept however old: an idle engine keeps its speed."""
+MIN_OBSERVATIONS = 24
+"""Observations kept at any age: an idle engine keeps its speed."""
 
-FROM_ONE_MOST = 0.34
+MAX_DAEMON_SHARE = 0.34
 """Largest share of the weight that one daemon has among several."""
 
-CERTAIN = 9.0
-"""Weight of what was believed before among the observations, so that the first few move
-little: two responses in a slow period, which weigh 3 each, must not make it slow."""
+PRIOR_WEIGHT = 9.0
+"""Weight of the prior among the observations, so that the first ones move little: two
+responses in a slow period, which weigh 3 each, must not make the engine slow."""
 
-GAPS_A_WEIGHT = 8
-"""Pauses between events whose mean weighs as much as the time to a first event."""
+GAPS_PER_WEIGHT = 8
+"""Gaps between events whose mean weighs as much as one time to a first event."""
 
-GAPS_WEIGHT_MOST = 2.0
-"""Most that the pauses of one report weigh: they are of the same moment."""
+MAX_GAPS_WEIGHT = 2.0
+"""Largest weight of the gaps of one report, as they are of the same moment."""
 
-SPELL_S = 0.3
+SLOW_PERIOD_WINDOW_S = 0.3
 """Age up to which observations show a slow period, half the length of one."""
 
-SPELL_TIMES = 1.6
-"""Times its lasting speed from which on an engine is in a slow period; they take 2.5
-times as long, and noise of one observation is 1.3."""
+SLOW_PERIOD_RATIO = 1.6
+"""Ratio to its lasting speed from which on an engine is in a slow period; responses
+take 2.5 times as long then, and the noise of one observation is 1.3."""
 
-SPELL_LEAST = 2
-"""Observations that show a slow period; one may be a lost packet."""
+MIN_SLOW_OBSERVATIONS = 2
+"""Observations that show a slow period; a single one may be a lost packet."""
 
 
 @dataclass(slots=True, frozen=True)
-class _Observed:
-    """One observation: the logarithm of times the usual, and its weight."""
+class _Observation:
+    """An observation: the logarithm of the ratio to the usual, and its weight."""
 
     daemon: str
-    log_times: float
+    log_ratio: float
     weight: float
-    seen_s: float
+    observed_s: float
 
 
 class EngineSpeed:
-    """The speed of one start of an engine, as its owner learns it."""
+    """Speed of one start of an engine, as its owner estimates it."""
 
     def __init__(self) -> None:
-        self._seen: deque[_Observed] = deque(maxlen=OBSERVED_MOST)
-        self._before = 0.0
-        self._speed = UNKNOWN
+        self._observations: deque[_Observation] = deque(maxlen=MAX_OBSERVATIONS)
+        self._log_prior = 0.0
+        self._speed = UNKNOWN_SPEED
         self._is_stale = False
 
     def set_prior(self, published: float) -> None:
-        """Begin at what the owner before published."""
-        self._speed = min(SPEED_MOST, max(SPEED_LEAST, published))
-        self._before = math.log(self._speed)
+        """Start from the speed that the previous owner published."""
+        self._speed = min(MAX_SPEED, max(MIN_SPEED, published))
+        self._log_prior = math.log(self._speed)
 
-    def record_first_event(self, daemon: str, times: float, now_s: float) -> None:
-        """Take the time to a first event, in times of the usual engine's forecast."""
-        self._see(daemon, times, 1.0, now_s)
+    def record_first_event(self, daemon: str, ratio: float, now_s: float) -> None:
+        """Record the ratio of a time to a first event to its forecast."""
+        self._add(daemon, ratio, 1.0, now_s)
 
-    def record_gaps(self, daemon: str, times: float, count: int, now_s: float) -> None:
-        """Take a mean pause between events, in times of the usual.
+    def record_gaps(self, daemon: str, ratio: float, count: int, now_s: float) -> None:
+        """Record the ratio of a mean gap between events to the usual one.
 
         Parameters
         ----------
         count : int
-            Of how many pauses it is the mean.
+            Number of gaps that it is the mean of.
         """
-        weight = min(GAPS_WEIGHT_MOST, count / GAPS_A_WEIGHT)
-        self._see(daemon, times, weight, now_s)
+        weight = min(MAX_GAPS_WEIGHT, count / GAPS_PER_WEIGHT)
+        self._add(daemon, ratio, weight, now_s)
 
-    def _see(self, daemon: str, times: float, weight: float, now_s: float) -> None:
-        if not (math.isfinite(times) and times > 0 and weight > 0):
+    def _add(self, daemon: str, ratio: float, weight: float, now_s: float) -> None:
+        if not (math.isfinite(ratio) and ratio > 0 and weight > 0):
             return
-        times = min(SPEED_MOST, max(SPEED_LEAST, times))
-        self._seen.append(_Observed(daemon, math.log(times), weight, now_s))
+        ratio = min(MAX_SPEED, max(MIN_SPEED, ratio))
+        self._observations.append(_Observation(daemon, math.log(ratio), weight, now_s))
         while (
-            len(self._seen) > OBSERVED_LEAST
-            and now_s - self._seen[0].seen_s > LASTING_S
+            len(self._observations) > MIN_OBSERVATIONS
+            and now_s - self._observations[0].observed_s > OBSERVATION_MAX_AGE_S
         ):
-            self._seen.popleft()
+            self._observations.popleft()
         self._is_stale = True
 
     @property
     def weight(self) -> float:
-        """The weight of evidence: one for each first event that counts."""
-        return sum(each.weight for each in self._seen)
+        """Total weight of the observations; a first event weighs 1."""
+        return sum(each.weight for each in self._observations)
 
     @property
     def speed(self) -> float:
-        """Times that it takes as long as the usual engine; 0.0: unknown."""
+        """Ratio of its times to those of the usual engine; 0.0: unknown."""
         if self._is_stale:
             self._is_stale = False
             self._speed = self._estimate()
         return self._speed
 
     def _estimate(self) -> float:
-        pairs = _bounded(self._seen)
+        pairs = _weighted(self._observations)
         total = sum(weight for _, weight in pairs)
-        share = total / (total + CERTAIN)
-        log_times = self._before + share * (_median(pairs) - self._before)
-        return math.exp(log_times)
+        share = total / (total + PRIOR_WEIGHT)
+        log_ratio = self._log_prior + share * (_median(pairs) - self._log_prior)
+        return math.exp(log_ratio)
 
     def is_in_slow_period(self, now_s: float) -> bool:
-        """Tell whether the engine is in a slow period now."""
+        """Return whether the engine is in a slow period now."""
         return self.slow_period_ratio(now_s) > 1.0
 
     def slow_period_ratio(self, now_s: float) -> float:
-        """Return by what a slow period makes the engine slower now; 1.0: by nothing.
+        """Return the ratio of current times to the lasting ones; 1.0: no slow period.
 
-        It is in times of the speed that was last read.
+        It is relative to the value of `speed` that was read last.
         """
         recent: list[tuple[float, float]] = []
-        for each in reversed(self._seen):
-            if now_s - each.seen_s > SPELL_S:
+        for each in reversed(self._observations):
+            if now_s - each.observed_s > SLOW_PERIOD_WINDOW_S:
                 break
-            recent.append((each.log_times, each.weight))
-        if len(recent) < SPELL_LEAST or not self._speed:
+            recent.append((each.log_ratio, each.weight))
+        if len(recent) < MIN_SLOW_OBSERVATIONS or not self._speed:
             return 1.0
-        times = math.exp(_median(recent)) / self._speed
-        return times if times >= SPELL_TIMES else 1.0
+        ratio = math.exp(_median(recent)) / self._speed
+        return ratio if ratio >= SLOW_PERIOD_RATIO else 1.0
 
 
-def _bounded(seen: Iterable[_Observed]) -> list[tuple[float, float]]:
-    """Return what was seen with its weight, where no daemon of several decides."""
+def _weighted(observations: Iterable[_Observation]) -> list[tuple[float, float]]:
+    """Return ratios and weights, limiting the share of each daemon."""
     by_daemon: dict[str, float] = {}
-    for each in seen:
+    for each in observations:
         by_daemon[each.daemon] = by_daemon.get(each.daemon, 0.0) + each.weight
-    most = max(1.0, FROM_ONE_MOST * sum(by_daemon.values()))
+    limit = max(1.0, MAX_DAEMON_SHARE * sum(by_daemon.values()))
     return [
-        (each.log_times, each.weight * min(1.0, most / by_daemon[each.daemon]))
-        for each in seen
+        (each.log_ratio, each.weight * min(1.0, limit / by_daemon[each.daemon]))
+        for each in observations
     ]
 
 
@@ -174,21 +175,21 @@
 
 
 def relative_speed(speed: float, usual: float) -> float:
-    """Return a speed in times of the usual one, 1.0 within `ALIKE` of it.
+    """Return a speed relative to the usual one, 1.0 within `SPEED_TOLERANCE` of it.
 
     Parameters
     ----------
     speed, usual : float
-        What the owner published, and the median of the service; 0.0: unknown.
+        The published speed, and the median of the service; 0.0: unknown.
     """
     if not speed or not usual:
-        return UNKNOWN
-    times = speed / usual
-    if abs(times - 1.0) <= ALIKE:
+        return UNKNOWN_SPEED
+    ratio = speed / usual
+    if abs(ratio - 1.0) <= SPEED_TOLERANCE:
         return 1.0
-    return min(SPEED_MOST, max(SPEED_LEAST, times))
+    return min(MAX_SPEED, max(MIN_SPEED, ratio))
 
 
 def speed_factor(speed: float) -> float:
-    """Return by what times of the usual engine are multiplied; 1.0 where unknown."""
+    """Return the factor for times of the usual engine; 1.0 if the speed is unknown."""
     return speed or 1.0
--- a/packages/core/src/knapweedbridge_core/serving/engine_updates.py
+++ b/packages/core/src/knapweedbridge_core/serving/engine_updates.py
@@ -1,4 +1,4 @@
-"""Tells daemons what an engine holds and runs, as changes where that will do."""
+"""Updates on an engine's adapters and load for daemons: changes or snapshots."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, replace
@@ -9,32 +9,33 @@
 from knapweedbridge_core.serving.model_ref import ModelRef
 
 LOAD_UPDATE_INTERVAL_S = 0.02
-"""Pause between tellings where only the calls changed: they steer the balance among
-engines, and a prompt takes some 50 ms."""
+"""Pause between updates if only the calls changed: they balance load among engines, and
+a prompt takes about 50 ms."""
 
-TELL_FAR_S = 0.3
-"""Pause between tellings in a large pool, where they go to the relays of each data
-centre, and by them to all daemons. Each of those sends a small part of the calls; one
-that waits for an adapter is told at once that it is on its way."""
+RELAY_UPDATE_INTERVAL_S = 0.3
+"""Pause between updates in a large pool, where they go to the relays of each data
+centre and through them to all daemons. Each daemon sends a small part of the calls;
+one that waits for an adapter is notified at once that it is being loaded."""
 
 IDLE_UPDATE_INTERVAL_S = 1.0
-"""Pause after which relays are told even if nothing changed: an engine that is not
-heard of for `endpoint.UPDATE_MAX_AGE_S` is taken to have no owner that tells."""
+"""Pause after which relays get an update even if nothing changed: an engine without an
+update for `endpoint.UPDATE_MAX_AGE_S` counts as having no owner that publishes."""
 
-TELL_ALL_S = 3.0
-"""Pause between tellings of all: a successor learns from them what is in use."""
+SNAPSHOT_INTERVAL_S = 3.0
+"""Pause between snapshots for all: from them a new owner learns which adapters are in
+use."""
 
 
 @dataclass(slots=True, frozen=True)
 class AddressedUpdate:
-    """What one daemon is told."""
+    """An update and the daemon that gets it."""
 
     daemon: str
     message: EngineTold | EngineChanged
 
 
 class EngineUpdates:
-    """What one owner has told of its engine, and to whom.
+    """Builds an owner's updates on its engine, and tracks who got which.
 
     Parameters
     ----------
@@ -43,7 +44,7 @@
     number : int
         The owner's fencing number.
     keeper : EngineController
-        What the engine holds.
+        State of the engine.
     """
 
     def __init__(
@@ -53,112 +54,113 @@
         self._started_ms = start.started_ms
         self._number = number
         self._keeper = keeper
-        self._told = 0
-        self._told_s = float("-inf")
-        self._held_changed = True
+        self._order = 0
+        self._sent_s = float("-inf")
+        self._adapters_changed = True
         self._calls_changed = False
-        self._told_all_s = float("-inf")
-        self._lost: set[str] = set()
-        self._hearers: set[str] = set()
+        self._snapshot_s = float("-inf")
+        self._need_snapshot: set[str] = set()
+        self._subscribers: set[str] = set()
         self._relays: set[str] = set()
-        self._shown: dict[ModelRef, tuple[int, float]] = {}
-        self._wanted_by: dict[ModelRef, set[str]] = {}
+        self._published: dict[ModelRef, tuple[int, float]] = {}
+        self._waiting: dict[ModelRef, set[str]] = {}
 
     def add_waiter(self, daemon: str, model: ModelRef) -> None:
-        """Note that a daemon waits for an adapter."""
-        self._wanted_by.setdefault(model, set()).add(daemon)
+        """Record that a daemon waits for an adapter."""
+        self._waiting.setdefault(model, set()).add(daemon)
 
     def record_load_ordered(self, model: ModelRef) -> None:
-        """Take that an adapter is on its way; who waits for it is told at once."""
-        self._lost |= self._wanted_by.pop(model, set())
+        """Record that an adapter is being loaded; its waiters get a snapshot next."""
+        self._need_snapshot |= self._waiting.pop(model, set())
 
     def request_snapshot(self, daemon: str) -> None:
-        """Take that a daemon missed a telling."""
-        self._lost.add(daemon)
+        """Record that a daemon missed an update."""
+        self._need_snapshot.add(daemon)
 
     def mark_adapters_changed(self) -> None:
-        """Take that the engine holds something else than was told."""
-        self._held_changed = True
+        """Record that the held adapters differ from the last update."""
+        self._adapters_changed = True
 
     def mark_calls_changed(self) -> None:
-        """Take that other calls run on the engine than was told."""
+        """Record that the running calls differ from the last update."""
         self._calls_changed = True
 
     @property
     def has_changes(self) -> bool:
-        """Whether something is to be told when its pause is over."""
-        return self._held_changed or self._calls_changed
+        """Whether an update is due at the end of the pause."""
+        return self._adapters_changed or self._calls_changed
 
     def due_s(self, small: bool) -> float:
-        """Return from when on news may be told to a small pool, or to a large one."""
-        return self._told_s + self._pause_s(small)
+        """Return when the next update to a small or a large pool may be sent."""
+        return self._sent_s + self._interval_s(small)
 
-    def _pause_s(self, small: bool) -> float:
+    def _interval_s(self, small: bool) -> float:
         if not small:
-            return TELL_FAR_S
-        return 0.0 if self._held_changed else LOAD_UPDATE_INTERVAL_S
+            return RELAY_UPDATE_INTERVAL_S
+        return 0.0 if self._adapters_changed else LOAD_UPDATE_INTERVAL_S
 
     def tell(
         self, subscribers: Iterable[str], small: bool, now_s: float
     ) -> list[AddressedUpdate]:
-        """Return what is to be told now.
+        """Return the updates that are due.
 
         Parameters
         ----------
         subscribers : iterable of str
-            Those that hear of every change: all daemons of a small pool, the relays of
-            a large one.
+            Recipients of every change: all daemons of a small pool, or the relays
+            of a large one.
         small : bool
-            Which of the two they are.
+            Whether the pool is small.
         """
         self._relays = set() if small else set(subscribers)
-        since_s = now_s - self._told_s
-        news_due = self.has_changes and since_s >= self._pause_s(small)
-        still_due = not small and since_s >= IDLE_UPDATE_INTERVAL_S
-        if news_due or still_due:
-            return self._tell_changes(set(subscribers), now_s)
+        since_s = now_s - self._sent_s
+        changes_due = self.has_changes and since_s >= self._interval_s(small)
+        heartbeat_due = not small and since_s >= IDLE_UPDATE_INTERVAL_S
+        if changes_due or heartbeat_due:
+            return self._take_changes(set(subscribers), now_s)
         return self.take_requested(now_s)
 
-    def _tell_changes(
+    def _take_changes(
         self, subscribers: set[str], now_s: float
     ) -> list[AddressedUpdate]:
-        self._told += 1
-        self._told_s = now_s
-        self._held_changed = self._calls_changed = False
-        # What was wanted and never loaded is asked for again by those who still wait.
-        self._wanted_by = {
+        self._order += 1
+        self._sent_s = now_s
+        self._adapters_changed = self._calls_changed = False
+        # Daemons that still wait for an adapter request it again.
+        self._waiting = {
             model: daemons
-            for model, daemons in self._wanted_by.items()
+            for model, daemons in self._waiting.items()
             if not self._relays or model in self._keeper.wanted
         }
-        new = (subscribers - self._hearers) | self._lost
-        if now_s - self._told_all_s >= TELL_ALL_S:
-            self._told_all_s = now_s
+        new = (subscribers - self._subscribers) | self._need_snapshot
+        if now_s - self._snapshot_s >= SNAPSHOT_INTERVAL_S:
+            self._snapshot_s = now_s
             new |= subscribers
-        tellings: list[AddressedUpdate] = []
+        updates: list[AddressedUpdate] = []
         if subscribers - new:
-            tellings = self._each(subscribers - new, self._changes(now_s))
-        self._shown = self._rows()
-        tellings += self._tell_all(new, now_s)
-        self._hearers = subscribers
-        self._lost.clear()
-        return tellings
+            updates = self._addressed(subscribers - new, self._changes(now_s))
+        self._published = self._rows()
+        updates += self._snapshots(new, now_s)
+        self._subscribers = subscribers
+        self._need_snapshot.clear()
+        return updates
 
     def take_requested(self, now_s: float) -> list[AddressedUpdate]:
-        """Tell all to those that missed a telling or are new, and nothing to others."""
-        tellings = self._tell_all(self._lost, now_s)
-        self._lost.clear()
-        return tellings
+        """Return the snapshots for daemons that missed an update."""
+        updates = self._snapshots(self._need_snapshot, now_s)
+        self._need_snapshot.clear()
+        return updates
 
-    def _tell_all(self, daemons: set[str], now_s: float) -> list[AddressedUpdate]:
-        return self._each(daemons, self._all(now_s)) if daemons else []
+    def _snapshots(self, daemons: set[str], now_s: float) -> list[AddressedUpdate]:
+        return self._addressed(daemons, self._snapshot(now_s)) if daemons else []
 
-    def _each(
+    def _addressed(
         self, daemons: set[str], message: EngineTold | EngineChanged
     ) -> list[AddressedUpdate]:
-        """Tell each daemon the calls of the others.
+        """Address a message to each daemon, with the load of all others.
 
-        To send all of them the calls by daemon made most of a telling's bytes.
+        The calls by daemon would make up most of an update's bytes, so only sums are
+        sent.
         """
         load = self._keeper.load_by_daemon()
         calls = sum(each for each, _ in load.values())
@@ -166,19 +168,19 @@
         of_all = replace(
             message, others_calls=calls, others_unread_tokens=tokens, of_all=True
         )
-        tellings = []
+        updates = []
         for daemon in daemons:
             if daemon in self._relays:
-                tellings.append(AddressedUpdate(daemon, of_all))
+                updates.append(AddressedUpdate(daemon, of_all))
                 continue
             own_calls, own_tokens = load.get(daemon, (0, 0))
-            told = replace(
+            update = replace(
                 message,
                 others_calls=calls - own_calls,
                 others_unread_tokens=tokens - own_tokens,
             )
-            tellings.append(AddressedUpdate(daemon, told))
-        return tellings
+            updates.append(AddressedUpdate(daemon, update))
+        return updates
 
     def _rows(self) -> dict[ModelRef, tuple[int, float]]:
         return {
@@ -187,7 +189,7 @@
             if not place.leaving
         }
 
-    def _all(self, now_s: float) -> EngineTold:
+    def _snapshot(self, now_s: float) -> EngineTold:
         keeper = self._keeper
         held = [
             [
@@ -203,7 +205,7 @@
         return EngineTold(
             self._endpoint,
             self._number,
-            self._told,
+            self._order,
             held,
             0,
             0,
@@ -224,13 +226,17 @@
         return EngineChanged(
             self._endpoint,
             self._number,
-            self._told,
+            self._order,
             [
                 [model.base, model.adapter, version, ready_s - now_s]
                 for model, (version, ready_s) in rows.items()
-                if self._shown.get(model) != (version, ready_s)
+                if self._published.get(model) != (version, ready_s)
+            ],
+            [
+                [model.base, model.adapter]
+                for model in self._published
+                if model not in rows
             ],
-            [[model.base, model.adapter] for model in self._shown if model not in rows],
             0,
             0,
             self._keeper.places_free(now_s),
--- a/packages/core/src/knapweedbridge_core/serving/paced_engines.py
+++ b/packages/core/src/knapweedbridge_core/serving/paced_engines.py
@@ -1,4 +1,4 @@
-"""The engines whose streams have shown a pause, by service."""
+"""Index of the engines whose streams have paused, by service."""
 
 from collections import defaultdict
 
@@ -6,29 +6,29 @@
 
 
 class PacedEngines:
-    """Kept up to date as owners tell, as every message to an owner asks for them."""
+    """Index that is updated with each owner's update, as every message reads it."""
 
     def __init__(self) -> None:
         self._paced: dict[str, dict[str, Endpoint]] = defaultdict(dict)
 
     def note(self, endpoint: Endpoint) -> None:
-        """Take what an owner has just told of its engine."""
+        """Update an engine after an update of its owner."""
         if endpoint.pace_scale:
             self._paced[endpoint.record.service][endpoint.name] = endpoint
         else:
             self.forget(endpoint)
 
     def forget(self, endpoint: Endpoint) -> None:
-        """Take that an engine is gone, or has shown no pause."""
+        """Remove an engine that is gone, or whose streams have not paused."""
         self._paced[endpoint.record.service].pop(endpoint.name, None)
 
-    def scales(self, but: Endpoint, now_s: float) -> list[float]:
-        """Return what pauses have shown of the other engines of an engine's service.
+    def scales(self, excluded: Endpoint, now_s: float) -> list[float]:
+        """Return the scales of the other engines of an engine's service.
 
-        Of those that may take new work; see `WindowPacing.heard`.
+        Only of engines that accept new work; see `WindowPacing.heard`.
         """
         return [
             endpoint.pace_scale
-            for endpoint in self._paced[but.record.service].values()
-            if endpoint is not but and endpoint.accepts_work(now_s)
+            for endpoint in self._paced[excluded.record.service].values()
+            if endpoint is not excluded and endpoint.accepts_work(now_s)
         ]
--- a/packages/core/src/knapweedbridge_core/serving/placement_choices.py
+++ b/packages/core/src/knapweedbridge_core/serving/placement_choices.py
@@ -1,4 +1,4 @@
-"""What a call asks of a placement, and what it may be told."""
+"""Request to a placement and its possible decisions."""
 
 import math
 from dataclasses import dataclass
@@ -10,22 +10,22 @@
 
 @dataclass(slots=True, frozen=True)
 class PlacementAsk:
-    """What one call wants of an engine.
+    """Requirements of one call for its engine.
 
     Parameters
     ----------
     model : ModelRef
         Base model, or an adapter of it.
-    versions : ServableVersions or None
-        Versions of the adapter that may serve it; None: any.
+    versions : VersionsNow or None
+        Versions of the adapter that may serve the call; None: any.
     data_centre : str
-        Where the daemon stands.
+        Data centre of the daemon.
     tried : frozenset of str
-        Endpoints that refused or failed it.
+        Endpoints that refused or failed the call.
     prompt_tokens : int
-        Length of its prompt.
+        Length of the prompt.
     patience_s : float
-        Longest wait from now to its first event that is worth while.
+        Longest acceptable wait from now to the first event.
     """
 
     model: ModelRef
@@ -38,16 +38,16 @@
 
 @dataclass(slots=True, frozen=True)
 class SendTo:
-    """The engine holds the model: send the call there.
+    """Send the call to an engine that holds the model.
 
     Parameters
     ----------
     endpoint : Endpoint
-        Where to.
+        Destination.
     version : int or None
-        Version that the engine must run it on; None: any.
+        Version that the engine must run the call on; None: any.
     copy_to : Endpoint or None
-        Engine that should load a copy, for calls to come.
+        Engine that should load a copy, for later calls.
     """
 
     endpoint: Endpoint
@@ -57,12 +57,12 @@
 
 @dataclass(slots=True, frozen=True)
 class WaitFor:
-    """The model is on its way to an engine: wait until then.
+    """Wait until an engine has loaded the model.
 
     Parameters
     ----------
     ready_s : float
-        When it is expected there, on the daemon's clock.
+        Expected end of the load, on the daemon's clock.
     """
 
     endpoint: Endpoint
@@ -71,7 +71,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LoadOn:
-    """No engine holds the model: its owner is to load it."""
+    """Ask the engine's owner to load the model, which no engine holds."""
 
     endpoint: Endpoint
 
@@ -88,13 +88,13 @@
     Parameters
     ----------
     over_s : float
-        By how much the best one would be late, in seconds.
+        Expected delay beyond the call's patience on the best engine, in seconds.
     best : Endpoint
-        That one.
+        The engine with the least cost.
     instead : SendTo, WaitFor or LoadOn
-        What becomes of the call where it is taken all the same.
+        Decision that applies if the call is accepted nevertheless.
     load_s : float
-        Part of the wait there that is for the adapter's load, in seconds.
+        Part of the wait that is spent on loading the adapter, in seconds.
     """
 
     over_s: float
--- a/packages/core/src/knapweedbridge_core/serving/recent_adapters.py
+++ b/packages/core/src/knapweedbridge_core/serving/recent_adapters.py
@@ -1,4 +1,4 @@
-"""The adapters that an engine held lately, and so still has in its memory."""
+"""Adapters that an engine held recently and so still has in its memory."""
 
 from collections import OrderedDict
 from collections.abc import Iterable, Iterator
@@ -6,28 +6,27 @@
 from knapweedbridge_core.serving.model_ref import ModelRef
 
 RECENT_PER_PLACE = 5
-"""Adapters that an engine is taken to have in its memory for each of its places,
-besides those it holds. The users' engines keep six times their places in all, with 8
-places as with 29, by their sheets. A fixed 90 is too few for the one and too many for
-the other; what that is worth was not measured by itself."""
+"""Unloaded adapters that an engine has in its memory for each of its places. The users'
+engines keep six times their places in all by their data sheets, with 8 places as
+with 29. A fixed 90 is too few for one and too many for the other."""
 
-RECENT_PRIOR = 90
-"""The same before a configuration tells the places."""
+RECENT_DEFAULT = 90
+"""Adapters assumed until a configuration states the number of places."""
 
 
 class RecentAdapters:
-    """Adapters that were unloaded, the latest last; the oldest are forgotten.
+    """LRU set of unloaded adapters, the latest last.
 
     Parameters
     ----------
     models : iterable of ModelRef
-        What is known at first.
+        Initial content.
     max_adapters : int
-        Adapters that are remembered.
+        Largest number of adapters.
     """
 
     def __init__(
-        self, models: Iterable[ModelRef] = (), max_adapters: int = RECENT_PRIOR
+        self, models: Iterable[ModelRef] = (), max_adapters: int = RECENT_DEFAULT
     ) -> None:
         self._models = OrderedDict.fromkeys(models)
         self.max_adapters = max_adapters
@@ -39,12 +38,12 @@
         return iter(self._models)
 
     def add(self, model: ModelRef) -> None:
-        """Take that an adapter was unloaded."""
+        """Record that an adapter was unloaded."""
         self._models[model] = None
         self._models.move_to_end(model)
         while len(self._models) > self.max_adapters:
             self._models.popitem(last=False)
 
     def discard(self, model: ModelRef) -> None:
-        """Take that an adapter is held again."""
+        """Record that an adapter is held again."""
         self._models.pop(model, None)
--- a/packages/core/src/knapweedbridge_core/serving/speed_reports.py
+++ b/packages/core/src/knapweedbridge_core/serving/speed_reports.py
@@ -1,4 +1,4 @@
-"""What daemons report of one engine's responses, in times of the usual engine's."""
+"""Daemons' reports of an engine's response times, compared with the usual engine's."""
 
 import math
 from collections.abc import Sequence
@@ -7,16 +7,16 @@
 from knapweedbridge_core.serving.engine_speed import EngineSpeed
 
 MAX_FIRST_EVENTS = 8
-"""First events in one report: an engine of 12 slots begins fewer in a second."""
+"""First events per report: an engine of 12 slots begins fewer in a second."""
 
 
 class SpeedReports:
-    """Feeds an engine's speed with what daemons report.
+    """Updates an engine's speed from the reports of daemons.
 
     Parameters
     ----------
     rates : EngineRates
-        What the owner knows of the service's usual engine.
+        The owner's forecasts for the service's usual engine.
     """
 
     def __init__(self, rates: EngineRates, service: str, speed: EngineSpeed) -> None:
@@ -31,14 +31,14 @@
         gaps: Sequence[float],
         now_s: float,
     ) -> None:
-        """Take one daemon's report.
+        """Add one daemon's report.
 
         Parameters
         ----------
         first_events : sequence of [prompt_tokens, unread_tokens, took_s]
             Times from sending a prompt to its first event.
         gaps : sequence of [count, total_s]
-            Number and sum of the pauses between events; it may be empty.
+            Number and sum of the gaps between events; may be empty.
         """
         for prompt_tokens, unread_tokens, took_s in first_events[:MAX_FIRST_EVENTS]:
             usual_s = self._rates.usual_first_event_s(
@@ -50,5 +50,5 @@
             return
         usual_s = self._rates.usual_gap_s(self._service)
         if usual_s:
-            times = gaps[1] / gaps[0] / usual_s
-            self._speed.record_gaps(daemon, times, int(gaps[0]), now_s)
+            ratio = gaps[1] / gaps[0] / usual_s
+            self._speed.record_gaps(daemon, ratio, int(gaps[0]), now_s)
