--- a/packages/core/src/knapweedbridge_core/serving/attempts.py
+++ b/packages/core/src/knapweedbridge_core/serving/attempts.py
@@ -1,23 +1,24 @@
-"""What becomes of a call after an attempt: answered, sent again, or given up."""
+"""Retry rules: whether a request is retried, resumed or failed after an attempt."""
 
 from dataclasses import dataclass, field
 from enum import Enum
 
 from knapweedbridge_core.serving.deployment import CallKind, Route
 
-SENDS_MOST = 6
-"""Most sends of one call, those that an endpoint refused to run among them."""
+MAX_SENDS = 6
+"""Most sends of one request, including those that an endpoint refused to run."""
 
 
 class AttemptEnd(Enum):
-    """How an attempt ended, by what is proved of it.
-
-    ``NOT_RUN``: the endpoint says so, or no byte of the call was written.
-    ``FAILED``: the endpoint ran it and answered with a failure of its own.
-    ``BROKEN``: it may have run; no whole answer came.
-    ``ABANDONED``: it was ended from here: the caller left, or its time was up. That
-    says nothing of the endpoint.
-    ``WITHHELD``: it was not sent, as the endpoint takes no call now.
+    """How an attempt ended, as far as that is certain.
+
+    ``ANSWERED``: the response was complete.
+    ``NOT_RUN``: the endpoint said so, or no byte of the request was written.
+    ``FAILED``: the endpoint ran the request and responded with an error of its own.
+    ``BROKEN``: the request may have run, but no complete response arrived.
+    ``ABANDONED``: the daemon cancelled it, because the caller disconnected or the
+    deadline passed. This is no evidence about the endpoint.
+    ``WITHHELD``: it was not sent, because the endpoint accepts no requests now.
     """
 
     ANSWERED = "answered"
@@ -30,16 +31,16 @@
 
 @dataclass(slots=True)
 class CallProgress:
-    """What one call has behind it.
+    """The attempts of one request so far.
 
     Parameters
     ----------
     runs : set of str
-        Endpoints on which it ran or may have run.
+        Endpoints on which the request ran or may have run.
     sends : int
-        Attempts sent to any endpoint.
-    events : int
-        Events of a stream that were passed on.
+        Attempts that were sent to any endpoint.
+    begun : bool
+        Whether the caller has received a part of the response.
     """
 
     runs: set[str] = field(default_factory=set)
@@ -48,13 +49,13 @@
 
     @property
     def may_have_run(self) -> bool:
-        """Whether any endpoint may have run it."""
+        """Whether any endpoint may have run the request."""
         return bool(self.runs)
 
 
 def may_retry(route: Route, progress: CallProgress, end: AttemptEnd) -> bool:
-    """Tell whether a call may be sent once more, the retry budget aside."""
-    if progress.sends >= SENDS_MOST:
+    """Return whether a request may be sent again, leaving aside the retry budget."""
+    if progress.sends >= MAX_SENDS:
         return False
     if end is AttemptEnd.NOT_RUN and not progress.may_have_run:
         return True
@@ -64,61 +65,63 @@
 
 
 def resumes(route: Route, progress: CallProgress) -> bool:
-    """Tell whether another endpoint must go on where the last one stopped."""
+    """Return whether the next endpoint must resume the stream of the last one."""
     return route.kind is CallKind.STREAM and progress.begun
 
 
-ENGINE_PATIENCE_S = 0.7
-"""Longest wait for an idle engine's first event. Reading the longest prompt takes
-0.15 s, and callers leave a silent stream after 2 s: an answer that is lost can still
-come from another engine. With 0.3 s, calls of a crowd were begun twice and lost."""
+IDLE_ENGINE_TIMEOUT_S = 0.7
+"""Timeout for the first event of an idle engine. Processing the longest prompt takes
+0.15 s, and callers disconnect from a silent stream after 2 s, so another engine can
+still answer in time. With 0.3 s, requests were started twice under load and lost."""
 
-READING_PATIENCE = 3.0
-"""Times that an engine's forecast may be exceeded: others' calls are known late."""
+FORECAST_TOLERANCE = 3.0
+"""Factor by which an engine's forecast may be exceeded, because the requests of other
+daemons become known late."""
 
 PLAIN_PATIENCE = 0.6
-"""Longest wait for a plain answer, in objectives: a second endpoint's answer then
-comes within the objective as often as not."""
+"""Timeout of a plain response, as a share of the objective. A retry at a second
+endpoint then still meets the objective about half of the time."""
 
 
 def first_byte_timeout_s(route: Route, reading_s: float) -> float:
-    """Return how long an attempt may stay silent before another is better.
+    """Return how long to wait for the first byte before retrying elsewhere.
 
-    An answer can be lost, or its endpoint dark, with the connection open. Only calls
-    that may be repeated are given up this way.
+    A response can be lost, or its endpoint unresponsive, while the connection stays
+    open. Only requests that may be retried time out this way.
 
     Parameters
     ----------
     reading_s : float
-        Forecast of the time until the endpoint begins with the call.
+        Forecast of the time until the endpoint starts on the request.
     """
     if route.kind is CallKind.STREAM:
-        return ENGINE_PATIENCE_S + READING_PATIENCE * reading_s
+        return IDLE_ENGINE_TIMEOUT_S + FORECAST_TOLERANCE * reading_s
     return PLAIN_PATIENCE * route.objective_s
 
 
 URGENCY_STEP = 0.12
-"""Part of the objective by which each rank of urgency is refused sooner: where not all
-can be served in time, the less urgent make way, and all of a kind alike."""
+"""Share of the objective by which the accepted wait shrinks per urgency rank. If not
+all requests can be served in time, the less urgent are rejected first, and requests of
+the same rank are treated alike."""
 
-LEAST_PART = 0.5
-WAITED_PART = 1.0
-"""Part of the objective up to which a call that was accepted is not given up: it has a
-place in the line, its own wish counts among those before it, and the forecast is off
-by some tenths of a second."""
+MIN_WAIT_SHARE = 0.5
+ACCEPTED_WAIT_SHARE = 1.0
+"""Share of the objective that an accepted request may wait. It holds a place in the
+queue, the forecast counts it among the requests ahead of itself, and the forecast is
+off by some tenths of a second."""
 
 
 def max_first_event_wait_s(route: Route, waited_s: float, accepted: bool) -> float:
-    """Return the longest wait for a first event that a call is accepted with.
+    """Return the longest expected wait for a first event to accept a request with.
 
     Parameters
     ----------
     waited_s : float
-        How long the caller has waited.
+        How long the caller has waited so far.
     accepted : bool
-        Whether it waits in a line already.
+        Whether the request is already in a queue.
     """
-    part = max(LEAST_PART, 1.0 - URGENCY_STEP * route.urgency)
+    share = max(MIN_WAIT_SHARE, 1.0 - URGENCY_STEP * route.urgency)
     if accepted:
-        part = WAITED_PART
-    return part * route.objective_s - waited_s
+        share = ACCEPTED_WAIT_SHARE
+    return share * route.objective_s - waited_s
--- a/packages/core/src/knapweedbridge_core/serving/backpressure.py
+++ b/packages/core/src/knapweedbridge_core/serving/backpressure.py
@@ -1,32 +1,34 @@
-"""What an endpoint asks of the daemons in its answers, so that they send it less."""
+"""Backpressure: the limits and pauses that an endpoint signals in its responses."""
 
 import math
 from dataclasses import dataclass
 
-LONGEST_REST_S = 60.0
-"""Longest rest that is kept: one that asks for hours must come back into use."""
+MAX_PAUSE_S = 60.0
+"""Longest pause that is honoured, so that an endpoint which asks for hours of pause
+comes back into use."""
 
 
 @dataclass(slots=True)
 class Backpressure:
-    """What one endpoint asks for now, as far as this daemon has heard.
+    """The backpressure of one endpoint, as known to this daemon.
 
     Parameters
     ----------
     limit_per_s : float or None
-        Calls a second that it takes from all daemons together; None: any number.
+        Requests a second that it accepts from all daemons together; None: no limit.
+    limit_heard_s : float
+        When the limit was received, on the daemon's clock.
     brittle_per_s : float or None
-        Calls a second that it can turn away before it falls over; None: any number.
+        Requests a second that a brittle endpoint can reject before it crashes; None:
+        it is not brittle.
     brittle_heard_s : float
-        When an answer last said that, or left it out.
-    limit_heard_s : float
-        When the endpoint said that, on the daemon's clock.
+        When a response last stated that, or omitted it.
     leaves : bool
-        Whether it has said that it leaves.
+        Whether it has announced that it is draining.
     paused_until_s : float
-        Until when it wants nothing from this daemon.
+        Until when it asked this daemon to send nothing.
     closed_until_s : float
-        Until when it is sent nothing: it rests, or no permit can be had.
+        Until when nothing is sent to it: it is paused, or no permit is available.
     """
 
     limit_per_s: float | None = None
@@ -38,12 +40,12 @@
     closed_until_s: float = -math.inf
 
     def update_limit(self, limit_per_s: float | None, heard_s: float) -> bool:
-        """Take the limit that an answer names, or that it names none.
+        """Update the limit from a response; None if it states no limit.
 
         Returns
         -------
         bool
-            Whether that is another limit than the one known, and newer.
+            Whether the limit is newer than the known one and differs from it.
         """
         if heard_s < self.limit_heard_s:
             return False
@@ -55,12 +57,12 @@
         return changed
 
     def record_no_permit(self, until_s: float) -> None:
-        """Note that no permit can be had before a moment."""
+        """Record that no permit is available before a time."""
         if self.is_limited or self.is_brittle:
             self.closed_until_s = max(self.closed_until_s, until_s)
 
     def update_brittle_limit(self, brittle_per_s: float | None, heard_s: float) -> bool:
-        """Record what an answer says of brittleness; return whether it changed."""
+        """Update the rejection limit from a response; return whether it changed."""
         if heard_s < self.brittle_heard_s:
             return False
         self.brittle_heard_s = heard_s
@@ -72,22 +74,22 @@
 
     @property
     def is_brittle(self) -> bool:
-        """Whether it falls over when it turns away too many calls."""
+        """Whether the endpoint crashes if it rejects too many requests."""
         return self.brittle_per_s is not None
 
     def record_draining(self) -> bool:
-        """Take that an answer says that it leaves; tell whether that is news."""
+        """Record that the endpoint is draining; return whether that was unknown."""
         is_new = not self.leaves
         self.leaves = True
         return is_new
 
-    def record_pause(self, rest_s: float, now_s: float) -> None:
-        """Take that it wants nothing from this daemon for some seconds."""
-        until_s = now_s + min(rest_s, LONGEST_REST_S)
+    def record_pause(self, pause_s: float, now_s: float) -> None:
+        """Record that the endpoint asks for a pause, bounded by `MAX_PAUSE_S`."""
+        until_s = now_s + min(pause_s, MAX_PAUSE_S)
         self.paused_until_s = max(self.paused_until_s, until_s)
         self.closed_until_s = max(self.closed_until_s, until_s)
 
     @property
     def is_limited(self) -> bool:
-        """Whether it takes a limited number of calls a second."""
+        """Whether the endpoint limits the requests that it accepts a second."""
         return self.limit_per_s is not None
--- a/packages/core/src/knapweedbridge_core/serving/caller_wait.py
+++ b/packages/core/src/knapweedbridge_core/serving/caller_wait.py
@@ -1,8 +1,8 @@
-"""How long a caller has waited before its request came here.
+"""Estimates how long a caller has waited before its request arrived here.
 
 A request states how long its caller will still wait. First attempts of one kind of
-client all state the same time, so the difference to that time has been spent on
-attempts that were refused elsewhere.
+client all state the same timeout. If a request states less, the caller has spent the
+difference on attempts that were rejected elsewhere.
 """
 
 import bisect
@@ -14,82 +14,83 @@
 from knapweedbridge_core.serving.deployment import Route
 from knapweedbridge_core.serving.model_ref import ModelRef
 
-SAME_S = 0.1
-"""Difference of two deadlines that counts as none: clients round, and take some
+EQUAL_WITHIN_S = 0.1
+"""Two timeouts that differ by less count as equal: clients round, and take some
 hundredths of a second from setting a deadline to sending it."""
 
-KEPT = 64
-"""Deadlines of a route that are remembered: a daemon of 76 gets 5 requests a second, so
-these are of the last ten seconds or more."""
+MAX_RECENT = 64
+"""Number of timeouts remembered per route. In a pool of 76, a daemon receives 5
+requests a second, so they cover ten seconds or more."""
 
 USUAL_SHARE = 0.1
-USUAL_LEAST = 3
-"""Share and number of the remembered deadlines that must be alike to be usual. Those of
-retries are spread over seconds, with one in forty within `SAME_S`; one client with a
-deadline of its own must not make all others look as if they had waited."""
+MIN_USUAL = 3
+"""Share and number of the remembered timeouts that must be equal to count as usual.
+Those of retries are spread over seconds, with one in forty within `EQUAL_WITHIN_S`. One
+client with an unusual timeout must not make all others look as if they had waited."""
 
 TAIL_S = 0.5
-TAIL_PART = 0.3
-"""Deadlines that are alike are those of retries if more than this part of their number
-lies within this time above them: immediate retries trail after their first attempt."""
+TAIL_SHARE = 0.3
+"""Equal timeouts belong to retries if more than this share of their number lies within
+this time above them: immediate retries state slightly less than first attempts."""
 
-RENEWED_AFTER = 8
-"""Requests after which the usual deadlines are found anew: it takes 0.03 ms."""
+RECOMPUTE_EVERY = 8
+"""Requests after which the usual timeouts are recomputed, which takes 0.03 ms."""
 
-KNOWN_AFTER = 20
-KNOWN_AFTER_S = 2.0
+MIN_REQUESTS = 20
+LEARNING_S = 2.0
 """Requests of a route, or time since the first, before which none counts as a retry."""
 
-LEAVES_S = 2.0
-LEAVES_OBJECTIVES = 4.0
-LEAVES_PAUSES = 8.0
-"""After how long a caller leaves a silent stream: the longest of the three."""
+DISCONNECT_S = 2.0
+DISCONNECT_OBJECTIVES = 4.0
+DISCONNECT_PAUSES = 8.0
+"""A caller disconnects from a silent stream after the longest of three times: a fixed
+one, a multiple of the objective, and a multiple of the longest accepted pause."""
 
-RESUME_PATIENCE_S = 2.0
-"""Longest wait for the next event of a stream that is continued elsewhere: callers
-leave after a gap of two seconds."""
+RESUME_TIMEOUT_S = 2.0
+"""Longest wait for the next event of a stream that is resumed elsewhere: callers
+disconnect after a gap of two seconds."""
 
-WAIT_PART = 0.5
-"""Part of the time left to a caller that its request may wait: the response needs the
-other half."""
+MAX_WAIT_SHARE = 0.5
+"""Share of the caller's remaining time that a request may wait in the queue. The
+response needs the other half."""
 
 
 @dataclass(slots=True)
-class _RouteDeadlines:
-    """Deadlines of one route, and the usual ones among them."""
+class _RouteTimeouts:
+    """Recent timeouts of one route, and the usual ones among them."""
 
     first_s: float
     seen: int = 0
-    recent: deque[float] = field(default_factory=lambda: deque(maxlen=KEPT))
+    recent: deque[float] = field(default_factory=lambda: deque(maxlen=MAX_RECENT))
     usual: list[float] = field(default_factory=list)
 
-    def note(self, deadline_s: float) -> None:
+    def add(self, deadline_s: float) -> None:
         self.seen += 1
         self.recent.append(deadline_s)
-        if self.seen <= KNOWN_AFTER or self.seen % RENEWED_AFTER == 0:
-            self.usual = _usual(sorted(self.recent))
+        if self.seen <= MIN_REQUESTS or self.seen % RECOMPUTE_EVERY == 0:
+            self.usual = _find_usual(sorted(self.recent))
 
     def is_known(self, now_s: float) -> bool:
-        return self.seen >= KNOWN_AFTER or now_s - self.first_s >= KNOWN_AFTER_S
+        return self.seen >= MIN_REQUESTS or now_s - self.first_s >= LEARNING_S
 
     def spent_s(self, deadline_s: float) -> float:
         later = (each - deadline_s for each in self.usual)
-        # Stated a little longer than usual, it is a first attempt as well.
-        spent_s = min((each for each in later if each >= -SAME_S), default=0.0)
-        return spent_s if spent_s > SAME_S else 0.0
+        # A timeout slightly longer than usual also belongs to a first attempt.
+        spent_s = min((each for each in later if each >= -EQUAL_WITHIN_S), default=0.0)
+        return spent_s if spent_s > EQUAL_WITHIN_S else 0.0
 
 
-def _usual(ordered: list[float]) -> list[float]:
-    """Return the values that many of the ordered ones lie just below."""
-    least = max(USUAL_LEAST, USUAL_SHARE * len(ordered))
+def _find_usual(ordered: list[float]) -> list[float]:
+    """Return the largest values of groups of nearly equal, sorted values."""
+    least = max(MIN_USUAL, USUAL_SHARE * len(ordered))
     found: list[float] = []
     end = len(ordered)
     while end:
         top_s = ordered[end - 1]
-        begin = bisect.bisect_left(ordered, top_s - SAME_S)
-        alike = end - begin
+        begin = bisect.bisect_left(ordered, top_s - EQUAL_WITHIN_S)
+        equal = end - begin
         above = bisect.bisect_right(ordered, top_s + TAIL_S) - end
-        if alike >= least and above <= TAIL_PART * alike:
+        if equal >= least and above <= TAIL_SHARE * equal:
             found.append(top_s)
             end = begin
         else:
@@ -98,56 +99,56 @@
 
 
 class UsualDeadlines:
-    """Learns the usual deadlines of each route.
+    """Learns the usual timeouts of each route.
 
-    Lost with its daemon: one that starts takes every request for a first attempt until
-    it has seen some.
+    The state is not persisted: a daemon that starts takes every request for a first
+    attempt until it has seen some.
     """
 
     def __init__(self) -> None:
-        self._routes: dict[str, _RouteDeadlines] = {}
+        self._routes: dict[str, _RouteTimeouts] = {}
 
     def spent_s(self, route: str, deadline_s: float | None, now_s: float) -> float:
-        """Take a request's deadline, and return what its caller has spent of it.
+        """Record a request's timeout, and return the time that its caller has spent.
 
         Parameters
         ----------
         deadline_s : float or None
-            How long its caller will still wait, in seconds; None: it does not say.
+            How long its caller will still wait, in seconds; None: not stated.
         """
         if deadline_s is None or not math.isfinite(deadline_s):
             return 0.0
         known = self._routes.get(route)
         if known is None:
-            known = self._routes[route] = _RouteDeadlines(now_s)
-        known.note(deadline_s)
+            known = self._routes[route] = _RouteTimeouts(now_s)
+        known.add(deadline_s)
         return known.spent_s(deadline_s) if known.is_known(now_s) else 0.0
 
 
 @dataclass(slots=True, frozen=True)
 class PendingRequest:
-    """One request, by what its caller has waited and will wait.
+    """A request that waits for an engine, with the waiting time of its caller.
 
     Parameters
     ----------
     key : int
-        What the request is known by while its daemon has it.
+        Identifies the request within its daemon.
     route : Route
-        The route that takes it, with its rank and objective.
+        Its route, with rank and objective.
     received_s, deadline_s : float
-        When it came, and when its caller gives up, on the daemon's clock.
+        When it arrived, and when its caller gives up, on the daemon's clock.
     spent_s : float
-        Time that its caller had spent before, in seconds.
+        Time that its caller had spent on earlier attempts, in seconds.
     gap_s : float
-        Longest pause that its stream accepts; 0: not known.
+        Longest pause that is accepted in its stream; 0: unknown.
     mark : str
         Fingerprint of the request; empty where it has none.
     begun : bool
-        Whether its caller has had a part of the response.
+        Whether its caller has received a part of the response.
     may_have_run : bool
-        Whether it can no longer be refused as one that was not run.
+        Whether it may have run, so that it cannot be rejected as not run.
     model : ModelRef or None
-        What it is run on; None: not known.
+        Model that it runs on; None: unknown.
     """
 
     key: int
@@ -162,35 +163,35 @@
     model: ModelRef | None = None
 
     def waited_s(self, now_s: float) -> float:
-        """Return how long its caller has waited, from its first attempt on."""
+        """Return how long its caller has waited since its first attempt."""
         return self.spent_s + now_s - self.received_s
 
     def patience_s(self, waited_s: float, accepted: bool) -> float:
-        """Return the longest wait for an event that it is accepted with.
+        """Return the longest expected wait for an event to accept it with.
 
         Parameters
         ----------
         waited_s : float
-            What counts as waited until now.
+            How long it counts as having waited so far.
         accepted : bool
-            Whether it waits for an engine already.
+            Whether it is already in a queue.
         """
         if self.begun:
-            return RESUME_PATIENCE_S
+            return RESUME_TIMEOUT_S
         return max_first_event_wait_s(self.route, waited_s, accepted)
 
     @property
-    def leaves_s(self) -> float:
-        """When its caller leaves a stream that stays silent, at the latest."""
-        bearable_s = max(
-            LEAVES_S,
-            LEAVES_OBJECTIVES * self.route.objective_s,
-            LEAVES_PAUSES * self.gap_s,
+    def disconnect_s(self) -> float:
+        """Latest time at which its caller disconnects from a silent stream."""
+        tolerated_s = max(
+            DISCONNECT_S,
+            DISCONNECT_OBJECTIVES * self.route.objective_s,
+            DISCONNECT_PAUSES * self.gap_s,
         )
-        return min(self.deadline_s, self.received_s - self.spent_s + bearable_s)
+        return min(self.deadline_s, self.received_s - self.spent_s + tolerated_s)
 
     @property
     def wait_ends_s(self) -> float:
-        """Until when it may wait for an engine, if it is overdue."""
-        half_s = WAIT_PART * (self.deadline_s - self.received_s)
-        return min(self.leaves_s, self.received_s + half_s)
+        """Until when an overdue request may wait for an engine."""
+        half_s = MAX_WAIT_SHARE * (self.deadline_s - self.received_s)
+        return min(self.disconnect_s, self.received_s + half_s)
--- a/packages/core/src/knapweedbridge_core/serving/crashes.py
+++ b/packages/core/src/knapweedbridge_core/serving/crashes.py
@@ -1,11 +1,10 @@
-"""Calls that crash the endpoints that run them, and who tells whom of it.
-
-A caller sends such a call again and again, by any daemon; each time an endpoint is
-lost with all that it ran. Those others are blamed as well, but only once: with two
-losses a call is refused, and what is innocent is hardly ever lost twice. A few keepers
-publish in the platform's store what is refused, for hosts that start later or did not
-hear the others. Calls that share a deadly part of their prompts are each new: see
-`crash_parts`.
+"""Ledger of requests that crash the endpoints which run them.
+
+A caller retries such a request through any daemon, and each time an endpoint is lost
+with all requests that it ran. All of them are blamed for the loss. A request is refused
+after two losses, since a harmless one is hardly ever lost twice. A few hosts publish
+refusals in the platform's store, for hosts that start later or missed the messages. For
+different requests that share a deadly part of their prompts see `part_ledger`.
 """
 
 import math
@@ -23,7 +22,7 @@
     LossEvidence,
     loss_id,
 )
-from knapweedbridge_core.serving.loss_counting import MOMENT_S, count_losses
+from knapweedbridge_core.serving.loss_counting import SIMULTANEOUS_S, count_losses
 from knapweedbridge_core.serving.part_ledger import (
     MAX_CALLS_PER_LOSS,
     SETTLE_S,
@@ -31,42 +30,42 @@
 )
 from knapweedbridge_core.serving.suspect_parts import LostCall, refused_parts
 
-LAPSE_S = 60.0
-"""How long blame holds at first; callers give up on such a call within seconds."""
+FIRST_REFUSAL_S = 60.0
+"""Duration of the first refusal; callers give up on a request within seconds."""
 
-LONGEST_LAPSE_S = 86_400.0
-"""Longest refusal: each that lapses costs one more endpoint."""
+MAX_REFUSAL_S = 86_400.0
+"""Longest refusal: each one that expires costs another endpoint."""
 
 
-ENDINGS_KEPT = 1000
-MOMENTS_KEPT = 512
-"""Losses whose times are kept, to tell which endpoints ended together."""
+MAX_INCOMPLETE = 1000
+MAX_LOSS_TIMES = 512
+"""Losses whose times are kept, to detect simultaneous ones."""
 
 
-SENDERS_REFUSED = 2
-"""Addresses by each of which a request has crashed an endpoint, without an answer by
-any, so that it is refused by whichever address it comes."""
+MIN_SENDERS = 2
+"""Caller addresses from each of which a request must have crashed an endpoint, with no
+response to any, before it is refused from all addresses."""
 
 
 class CrashLedger:
-    """What one daemon knows of calls that were lost with their endpoints.
+    """What one daemon knows about requests that were lost with their endpoints.
 
     Attributes
     ----------
     parts : PartLedger
-        What it knows of the parts of their prompts.
+        What it knows about the parts of their prompts.
     """
 
     def __init__(self) -> None:
         self.parts = PartLedger()
-        self.parts.losses_s = lambda: list(self._moments.values())
-        self._blame = Blame(LAPSE_S, longest_lapse_s=LONGEST_LAPSE_S)
+        self.parts.losses_s = lambda: list(self._loss_times_s.values())
+        self._blame = Blame(FIRST_REFUSAL_S, longest_lapse_s=MAX_REFUSAL_S)
         self._published: dict[str, float] = {}
-        self._held: dict[str, float] = {}
+        self._held_until_s: dict[str, float] = {}
         self._senders: dict[str, dict[str, set[str]]] = {}
-        self._endings: deque[IncompleteCall] = deque(maxlen=ENDINGS_KEPT)
-        self._lost: dict[EndpointStart, float] = {}
-        self._moments: OrderedDict[str, float] = OrderedDict()
+        self._incomplete: deque[IncompleteCall] = deque(maxlen=MAX_INCOMPLETE)
+        self._lost_s: dict[EndpointStart, float] = {}
+        self._loss_times_s: OrderedDict[str, float] = OrderedDict()
 
     def ended(
         self,
@@ -78,9 +77,9 @@
         is_closed: bool = True,
         is_judged: bool = True,
     ) -> LossEvidence | None:
-        """Record that a call ended at an endpoint without a whole answer.
+        """Record that a request ended at an endpoint without a complete response.
 
-        It broke off, or nobody waits for it any more: the endpoint may be silent.
+        The connection broke, or the request was given up as the endpoint is silent.
 
         Parameters
         ----------
@@ -90,46 +89,49 @@
         Returns
         -------
         found : LossEvidence or None
-            What is held for the endpoint's loss, where that was known before.
+            The evidence for the endpoint's loss, if the loss was already known.
         """
-        ending = IncompleteCall(mark, start, now_s, parts, sent_s, is_closed, is_judged)
+        call = IncompleteCall(mark, start, now_s, parts, sent_s, is_closed, is_judged)
         lost_s = [
             at_s
-            for each, at_s in self._lost.items()
+            for each, at_s in self._lost_s.items()
             if each.may_be(start) and now_s - at_s <= LOSS_PROOF_TIMEOUT_S
         ]
         if not lost_s:
-            self._endings.append(ending)
+            self._incomplete.append(call)
             return None
         found = LossEvidence(min(lost_s))
         if sent_s < found.at_s:
-            self._hold(found, ending, now_s)
+            self._blame_call(found, call, now_s)
         return found
 
-    def _hold(self, found: LossEvidence, ending: IncompleteCall, now_s: float) -> None:
-        """Hold a loss against a call, and against the parts of its prompt."""
-        if ending.fingerprint in found.marks:
+    def _blame_call(
+        self, found: LossEvidence, call: IncompleteCall, now_s: float
+    ) -> None:
+        """Blame a loss on a request and on the parts of its prompt."""
+        if call.fingerprint in found.marks:
             return
-        found.marks.append(ending.fingerprint)
-        self.told(ending.fingerprint, loss_id(ending.start), found.at_s)
-        parts = tuple(self.parts.unproven(ending.parts, now_s))
+        found.marks.append(call.fingerprint)
+        self.told(call.fingerprint, loss_id(call.start), found.at_s)
+        parts = tuple(self.parts.unproven(call.parts, now_s))
         if parts and len(found.calls) < MAX_CALLS_PER_LOSS:
-            call = LostCall(request_digest(ending.fingerprint), parts)
-            found.calls.append(call)
-            self.parts.blamed(loss_id(ending.start), [call], found.at_s)
+            lost = LostCall(request_digest(call.fingerprint), parts)
+            found.calls.append(lost)
+            self.parts.blamed(loss_id(call.start), [lost], found.at_s)
 
     def has_recent_failure(self, endpoint: str, now_s: float) -> bool:
-        """Return whether a call has ended badly at an endpoint of late."""
+        """Return whether a request recently ended incomplete at an endpoint."""
         return any(
             each.start.endpoint == endpoint and each.is_recent(now_s)
-            for each in self._endings
+            for each in self._incomplete
         )
 
     def is_verdict_pending(self, mark: str, parts: Sequence[str], now_s: float) -> bool:
-        """Return whether a loss is about to be judged that a call may have caused."""
+        """Return whether a verdict is pending on a loss a request may have caused."""
         unproven = set(self.parts.unproven(parts, now_s))
         recent = takewhile(
-            lambda each: now_s - each.at_s < VERDICT_TIMEOUT_S, reversed(self._endings)
+            lambda each: now_s - each.at_s < VERDICT_TIMEOUT_S,
+            reversed(self._incomplete),
         )
         is_open = any(
             each.is_awaited(now_s)
@@ -139,163 +141,170 @@
         if is_open or self.parts.verdict_due_s(parts, now_s):
             return True
         marks = mark, request_digest(mark)
-        return any(self._held.get(each, 0.0) > now_s for each in marks) or not all(
-            self._is_settled(each, now_s) for each in marks
-        )
+        return any(
+            self._held_until_s.get(each, 0.0) > now_s for each in marks
+        ) or not all(self._is_settled(each, now_s) for each in marks)
 
     def hold(self, marks: Iterable[str], parts: Iterable[str], now_s: float) -> None:
-        """Record that a host has a loss to judge that suspects may have caused."""
+        """Record that a host awaits the verdict on a loss blamed on suspects."""
         until_s = now_s + VERDICT_TIMEOUT_S
-        held = self._held.items()
-        self._held = {each: end_s for each, end_s in held if end_s > now_s}
-        self._held |= {each: until_s for each in marks if self._blame.knows(each)}
+        held = self._held_until_s.items()
+        self._held_until_s = {each: end_s for each, end_s in held if end_s > now_s}
+        self._held_until_s |= {
+            each: until_s for each in marks if self._blame.knows(each)
+        }
         self.parts.hold(parts, until_s, now_s)
 
     def find_suspects(
         self, mark: str, parts: Sequence[str], now_s: float
     ) -> tuple[str, ...]:
-        """Return what of a call a loss is held against."""
-        asked = request_digest(mark)
-        own = (asked,) if self._blame.knows(asked) else ()
+        """Return the suspects in a request: its digest and parts of its prompt."""
+        digest = request_digest(mark)
+        own = (digest,) if self._blame.knows(digest) else ()
         return own + tuple(self.parts.suspected(parts, now_s))
 
     def record_alive(self, start: EndpointStart, by_s: float) -> None:
-        """Record that an endpoint runs on, although calls ended there by a moment."""
-        for each in self._endings:
+        """Record that an endpoint survived the requests that ended there by a time."""
+        for each in self._incomplete:
             if each.start.may_be(start) and each.at_s <= by_s:
                 each.is_judged = True
                 each.is_closed = False
 
     def lost(self, start: EndpointStart, now_s: float) -> dict[str, LossEvidence]:
-        """Record that an endpoint is lost; return what is held for it.
+        """Record that an endpoint is lost; return the evidence for it.
 
         Parameters
         ----------
         start : EndpointStart
-            Which start of it; without a time, any.
+            The start that is lost; any start if it has no time.
 
         Returns
         -------
         dict of str to LossEvidence
             By loss.
         """
-        of_start = [each for each in self._endings if each.start.may_be(start)]
+        of_start = [each for each in self._incomplete if each.start.may_be(start)]
         recent = [each for each in of_start if each.is_recent(now_s)]
         first_s = self._broke_s(recent, now_s)
-        known = self._lost.items()
-        self._lost = {
+        known = self._lost_s.items()
+        self._lost_s = {
             each: at_s for each, at_s in known if now_s - at_s <= LOSS_PROOF_TIMEOUT_S
         }
-        self._lost.setdefault(start, first_s)
+        self._lost_s.setdefault(start, first_s)
         self.record_loss_time(start.endpoint, first_s)
         found: dict[str, LossEvidence] = {}
         for each in recent:
-            # What was sent when others had broken off already came to a lost endpoint.
+            # A request sent after others had broken off reached a lost endpoint.
             if each.sent_s < first_s:
                 loss = found.setdefault(loss_id(each.start), LossEvidence(first_s))
-                self._hold(loss, each, now_s)
-        kept = (each for each in self._endings if not each.start.may_be(start))
-        self._endings = deque(kept, maxlen=ENDINGS_KEPT)
+                self._blame_call(loss, each, now_s)
+        kept = (each for each in self._incomplete if not each.start.may_be(start))
+        self._incomplete = deque(kept, maxlen=MAX_INCOMPLETE)
         return found
 
     @staticmethod
-    def _broke_s(endings: Sequence[IncompleteCall], now_s: float) -> float:
-        """Return when the connections to an endpoint that is lost broke.
+    def _broke_s(calls: Sequence[IncompleteCall], now_s: float) -> float:
+        """Return when the connections to a lost endpoint broke.
 
-        Those that broke long before the last of them, and callers who left, show
-        nothing of it.
+        Connections that broke long before the last one, and callers that disconnected,
+        are no evidence of the loss.
         """
-        closed_s = [each.at_s for each in endings if each.is_closed]
+        closed_s = [each.at_s for each in calls if each.is_closed]
         last_s = max(closed_s, default=now_s)
         return min(
-            (at_s for at_s in closed_s if last_s - at_s <= MOMENT_S), default=now_s
+            (at_s for at_s in closed_s if last_s - at_s <= SIMULTANEOUS_S),
+            default=now_s,
         )
 
     def record_loss_time(self, endpoint: str, at_s: float) -> None:
-        """Record when an endpoint was lost, whatever is held for that."""
-        self._moments.setdefault(endpoint, at_s)
-        while len(self._moments) > MOMENTS_KEPT:
-            self._moments.popitem(last=False)
+        """Record when an endpoint was lost, independent of any blame."""
+        self._loss_times_s.setdefault(endpoint, at_s)
+        while len(self._loss_times_s) > MAX_LOSS_TIMES:
+            self._loss_times_s.popitem(last=False)
 
     def told(self, mark: str, loss: str, now_s: float) -> None:
-        """Blame a call for the loss of an endpoint, here or at another daemon."""
-        asked = request_digest(mark)
-        for each in (mark, asked):
+        """Blame a request for the loss of an endpoint, here or at another daemon."""
+        digest = request_digest(mark)
+        for each in (mark, digest):
             self._blame.suspect(each, loss, loss, now_s)
             self._blame.proved(each, loss)
-        losses = self._senders.setdefault(asked, {})
+        losses = self._senders.setdefault(digest, {})
         losses.setdefault(loss, set()).add(mark)
 
     def answered(self, mark: str) -> bool:
-        """Record that a call got a whole answer, so that it crashes nothing.
+        """Record that a request got a complete response, which clears it.
 
         Returns
         -------
         was_known : bool
-            Whether anything was held against it.
+            Whether it was suspected or refused.
         """
-        asked = request_digest(mark)
-        self._senders.pop(asked, None)
+        digest = request_digest(mark)
+        self._senders.pop(digest, None)
         was_known = False
-        for each in (mark, asked):
+        for each in (mark, digest):
             was_published = self._published.pop(each, None) is not None
             was_known = self._blame.clear(each) or was_published or was_known
         return was_known
 
     def record_published(self, mark: str, for_s: float, now_s: float) -> None:
-        """Record that the store says for how long a call is refused."""
+        """Record a refusal that the store holds, and its remaining time."""
         if refused_parts(mark):
             self.parts.record_published(mark, for_s, now_s)
         else:
             self._published[mark] = now_s + for_s
 
     def record_unpublished(self, mark: str, now_s: float) -> None:
-        """Record that the store says nothing of a call any more."""
+        """Record that the store no longer holds a refusal."""
         if refused_parts(mark):
             self.parts.record_unpublished(mark, now_s)
         else:
             self._published.pop(mark, None)
 
     def to_publish(self, now_s: float) -> dict[str, float]:
-        """Return the calls that the store should refuse and does not, and for how long.
+        """Return the refusals that the store should hold but does not.
 
         Returns
         -------
         dict of str to float
-            Seconds by mark, or by the part of it that is the same for all addresses.
+            Seconds by fingerprint, by request digest, or by key of prompt parts.
         """
-        self._lapse(now_s)
+        self._expire(now_s)
         return self.parts.to_publish(now_s) | {
             each: self._blame.refused_for_s(each, now_s)
             for each in self._blame.refused(now_s)
             if each not in self._published
-            and self._is_decided(each)
+            and self._has_enough_losses(each)
             and self._is_settled(each, now_s)
         }
 
-    def _lapse(self, now_s: float) -> None:
+    def _expire(self, now_s: float) -> None:
         self._blame.lapse(now_s)
         if len(self._senders) > len(self._blame):
             known = self._senders.items()
             self._senders = {each: s for each, s in known if self._blame.knows(each)}
 
-    def _is_decided(self, mark: str) -> bool:
-        """Return whether losses count against a mark; see `SENDERS_REFUSED`.
+    def _has_enough_losses(self, mark: str) -> bool:
+        """Return whether there are enough losses to refuse a fingerprint or digest.
 
-        A loss that two addresses share counts for none: one may have run beside it.
+        A digest needs losses from `MIN_SENDERS` addresses. A loss that two addresses
+        share counts for neither, as one of them may have run beside the other.
         """
         if not self._blame.was_refused(mark):
             losses_s = self._blame.losses_s(mark)
-            if count_losses(losses_s, list(self._moments.values())) < LOSSES_REFUSED:
+            if (
+                count_losses(losses_s, list(self._loss_times_s.values()))
+                < LOSSES_REFUSED
+            ):
                 return False
         if SEPARATOR in mark:
             return True
         losses = self._senders.get(mark, {}).values()
         alone = {next(iter(each)) for each in losses if len(each) == 1}
-        return len(alone) >= SENDERS_REFUSED
+        return len(alone) >= MIN_SENDERS
 
     def _is_settled(self, mark: str, now_s: float) -> bool:
-        """Return whether the losses of the moment in which a mark had its last show."""
+        """Return whether losses simultaneous with the last one are known by now."""
         losses_s = self._blame.losses_s(mark)
         is_decisive = len(losses_s) == LOSSES_REFUSED
         return not is_decisive or now_s >= max(losses_s) + SETTLE_S
@@ -303,12 +312,12 @@
     def refused_for_s(
         self, mark: str, now_s: float, parts: Sequence[str] = ()
     ) -> float:
-        """Return for how long a call is refused; 0 where it may run.
+        """Return for how long a request is refused; 0.0: it may run.
 
         Parameters
         ----------
         parts : sequence of str
-            Marks of the shared parts of its prompt.
+            Digests of the shared parts of its prompt.
         """
         marks = mark, request_digest(mark)
         by_marks_s = max(self._refused_for_s(each, now_s) for each in marks)
@@ -316,11 +325,11 @@
 
     def _refused_for_s(self, mark: str, now_s: float) -> float:
         published_s = max(0.0, self._published.get(mark, 0.0) - now_s)
-        if not (self._blame.knows(mark) and self._is_decided(mark)):
+        if not (self._blame.knows(mark) and self._has_enough_losses(mark)):
             return published_s
         if not self._is_settled(mark, now_s):
             return published_s
-        self._lapse(now_s)
+        self._expire(now_s)
         if self._blame.judge(mark, now_s) is not Verdict.REFUSE:
             return published_s
         return max(published_s, self._blame.refused_for_s(mark, now_s))
--- a/packages/core/src/knapweedbridge_core/serving/fingerprinting.py
+++ b/packages/core/src/knapweedbridge_core/serving/fingerprinting.py
@@ -1,4 +1,4 @@
-"""What a call is known by when it comes again, and which hosts publish its refusal."""
+"""Fingerprints of requests, and the hosts that publish their refusal."""
 
 import hashlib
 from collections.abc import Mapping, Sequence
@@ -7,45 +7,45 @@
 
 SEPARATOR = "-"
 
-KEEPERS = 3
-"""Hosts that count the losses of one call, in as many data centres as there are."""
+PUBLISHERS = 3
+"""Hosts that publish the refusal of one request, spread over the data centres."""
 
 
 def fingerprint(
     account: str, sender: str, host: str, method: bytes, target: bytes, body: bytes
 ) -> str:
-    """Return what a call is known by when it comes again, by any host.
+    """Return the fingerprint of a request, which is the same on all hosts.
 
-    Its caller counts: others send the same look-up, and theirs may do no harm. The mark
-    of what is asked for comes first, as a caller may come by another address.
+    It includes the caller, because the same lookup from other callers may be harmless.
+    The digest of the request comes first, because a caller may use another address.
 
     Parameters
     ----------
     account : str
-        Client account that it runs for; empty: none.
+        Client account of the request; empty: none.
     sender : str
         Network address of its caller.
     host, method, target, body : str, bytes, bytes, bytes
-        What it asks for.
+        Host, method, target and body of the request.
     """
     parts = (account.encode(), host.encode(), method, target)
     lengths = b",".join(b"%d" % len(part) for part in parts)
-    asked = hashlib.blake2b(b"\0".join((lengths, *parts, body)), digest_size=16)
+    digest = hashlib.blake2b(b"\0".join((lengths, *parts, body)), digest_size=16)
     caller = hashlib.blake2b(sender.encode(), digest_size=8)
-    return f"{asked.hexdigest()}{SEPARATOR}{caller.hexdigest()}"
+    return f"{digest.hexdigest()}{SEPARATOR}{caller.hexdigest()}"
 
 
 def request_digest(mark: str) -> str:
-    """Return the part of a mark that is the same for all addresses of a caller."""
+    """Return the digest of the request, without that of the caller's address."""
     return mark.partition(SEPARATOR)[0]
 
 
 def refusal_publishers(mark: str, candidates: Mapping[str, Sequence[str]]) -> list[str]:
-    """Name the hosts that publish the refusal of a call, in the order in which they do.
+    """Return the hosts that publish the refusal of a request, in order of precedence.
 
     Parameters
     ----------
     candidates : dict of str to sequence of str
-        Hosts that may, by data centre.
+        Hosts that may publish refusals, by data centre.
     """
-    return choose_spread(request_digest(mark), candidates, KEEPERS)
+    return choose_spread(request_digest(mark), candidates, PUBLISHERS)
--- a/packages/core/src/knapweedbridge_core/serving/incomplete_calls.py
+++ b/packages/core/src/knapweedbridge_core/serving/incomplete_calls.py
@@ -1,4 +1,4 @@
-"""Calls that ended at endpoints without whole answers, and what is held for losses."""
+"""Requests without a complete response, and the losses they are blamed for."""
 
 import math
 from dataclasses import dataclass, field
@@ -7,28 +7,28 @@
 from knapweedbridge_core.serving.suspect_parts import LostCall
 
 LOSS_PROOF_TIMEOUT_S = 6.0
-"""Longest time from a call's end to the proof that its endpoint was lost by then. The
-entry of an endpoint that is silent lapses after three heartbeats of 1.2 s, is removed
-within a second, and a relay tells of it within another."""
+"""Longest time from the end of a request to the proof that its endpoint was lost. The
+entry of a silent endpoint expires after three heartbeats of 1.2 s, is removed within a
+second, and a relay reports the removal within another."""
 
 VERDICT_TIMEOUT_S = 1.0
-"""Longest wait for the proof of a loss."""
+"""Longest wait of a request for the proof of a loss."""
 
 
 @dataclass(slots=True)
 class IncompleteCall:
-    """A call that ended at a start of an endpoint without a whole answer.
+    """A request that ended at an endpoint without a complete response.
 
     Parameters
     ----------
     parts : tuple of str
-        Marks of the parts of its prompt; empty where its answer had begun.
+        Digests of the parts of its prompt; empty if its response had started.
     sent_s : float
         When it was sent there.
     is_closed : bool
-        Whether its connection broke, and the endpoint has not been found alive since.
+        Whether its connection broke, and the endpoint was not found alive since.
     is_judged : bool
-        Whether nobody waits any more for what became of the endpoint.
+        Whether nothing waits any longer to learn if the endpoint was lost.
     """
 
     fingerprint: str
@@ -40,26 +40,26 @@
     is_judged: bool = True
 
     def is_recent(self, now_s: float) -> bool:
-        """Return whether a loss that shows now may have ended it."""
+        """Return whether a loss that is detected now may have ended it."""
         return now_s - self.at_s <= LOSS_PROOF_TIMEOUT_S
 
     def is_awaited(self, now_s: float) -> bool:
-        """Return whether what became of the endpoint is about to show."""
+        """Return whether it is about to be known if the endpoint was lost."""
         return not self.is_judged and now_s - self.at_s < VERDICT_TIMEOUT_S
 
 
 @dataclass(slots=True)
 class LossEvidence:
-    """An endpoint's loss, and what is held for it.
+    """The loss of an endpoint, and the requests blamed for it.
 
     Parameters
     ----------
     at_s : float
-        When its first call broke off.
+        When its first request broke off.
     marks : list of str
-        Marks of the calls that are blamed.
+        Fingerprints of the blamed requests.
     calls : list of LostCall
-        Those of them with parts that may have caused it.
+        The blamed requests that have parts which may have caused the loss.
     """
 
     at_s: float
@@ -68,5 +68,5 @@
 
 
 def loss_id(start: EndpointStart) -> str:
-    """Return what the loss of a start of an endpoint is known by on all hosts."""
+    """Return the id of the loss of one start of an endpoint, the same on all hosts."""
     return f"{start.endpoint} {start.started_ms}"
--- a/packages/core/src/knapweedbridge_core/serving/late_admission.py
+++ b/packages/core/src/knapweedbridge_core/serving/late_admission.py
@@ -1,11 +1,9 @@
-"""Whether a call is taken though its answer will be somewhat late.
+"""Decides whether to accept a request although its response will be slightly late.
 
-The load that this answers is a peak that passes within a second or two. A caller who
-is refused comes back after one to three seconds: its answer is later than if it had
-waited, and the next moment's load is no smaller. Only while the load stays above what
-the engines hold does a refusal help others, who are then answered in time.
-
-So the share of calls that come too late decides.
+This handles load peaks of a second or two. A caller that is rejected retries after one
+to three seconds: its response is later than if it had waited, and the load is not
+reduced. Rejecting requests helps others only while the load stays above the capacity of
+the engines. The share of requests that would be late therefore decides.
 """
 
 from knapweedbridge_core.serving.endpoint import Endpoint
@@ -13,38 +11,38 @@
 from knapweedbridge_core.serving.placement_choices import Choice, PlacementAsk, TooLate
 
 MAX_DELAY_OBJECTIVES = 1.0
-"""Objectives by which an answer may be late while none are: one that is asked for again
-comes after one to three seconds."""
+"""Accepted delay beyond the objective, in objectives, while no request is late. A
+rejected caller retries only after one to three seconds."""
 
-CROWDED_SHARE = 0.12
-"""Share of calls that come too late from which on each is refused: the heaviest usual
-load makes it 0.05, and 1.5 times that 0.15."""
+OVERLOAD_LATE_SHARE = 0.12
+"""Share of late requests from which on every late request is rejected. It is 0.05 at
+the heaviest usual load, and 0.15 at 1.5 times that."""
 
 HALF_LIFE_S = 1.0
-"""Half-life of that share: peaks last about two seconds."""
+"""Half-life of that share. Peaks last about two seconds."""
 
-LEAST_WEIGHT = 0.05
-MOST_WEIGHT = 0.5
-"""Bounds on what one call counts, for daemons with many calls or few."""
+MIN_WEIGHT = 0.05
+MAX_WEIGHT = 0.5
+"""Bounds on the weight of one request, for daemons with many requests or few."""
 
 
 class LateAdmission:
-    """Chooses engines by a placement, and spares some calls their refusal.
+    """Accepts some of the late requests that a placement rejects.
 
     Parameters
     ----------
     placement : EnginePlacement
-        Refuses a call that would be late.
+        Rejects requests that would be late.
     """
 
     def __init__(self, placement: EnginePlacement) -> None:
         self._placement = placement
         self._late_share = 0.0
-        self._noted_s = 0.0
+        self._recorded_s = 0.0
 
     @property
     def late_share(self) -> float:
-        """The decayed share of calls that came too late, 0 to 1."""
+        """The decayed share of requests that would be late, 0 to 1."""
         return self._late_share
 
     def choose(
@@ -55,30 +53,32 @@
         is_new: bool,
         now_s: float,
     ) -> Choice:
-        """Choose among engines that may take new work.
+        """Choose among the engines that accept new work.
 
         Parameters
         ----------
         objective_s : float
-            Time to the first event that the call's route aims at; 0: spare it nothing.
+            Time to the first event that the route aims at; 0: accept no delay.
         is_new : bool
-            Whether the call is placed for the first time.
+            Whether the request is placed for the first time.
         """
         choice = self._placement.choose(ask, engines, now_s)
-        late = isinstance(choice, TooLate)
+        is_late = isinstance(choice, TooLate)
         if is_new:
-            self._note(late, now_s)
+            self._record(is_late, now_s)
         if not isinstance(choice, TooLate):
             return choice
-        spared = choice.over_s <= self._spare() * objective_s
-        return choice.instead if spared else choice
+        is_accepted = choice.over_s <= self._accepted_delay() * objective_s
+        return choice.instead if is_accepted else choice
 
-    def _note(self, late: bool, now_s: float) -> None:
-        since_s = max(0.0, now_s - self._noted_s)
+    def _record(self, is_late: bool, now_s: float) -> None:
+        since_s = max(0.0, now_s - self._recorded_s)
         weight = 1.0 - 0.5 ** (since_s / HALF_LIFE_S)
-        weight = min(MOST_WEIGHT, max(LEAST_WEIGHT, weight))
-        self._late_share += weight * (late - self._late_share)
-        self._noted_s = now_s
-
-    def _spare(self) -> float:
-        return MAX_DELAY_OBJECTIVES * max(0.0, 1.0 - self._late_share / CROWDED_SHARE)
+        weight = min(MAX_WEIGHT, max(MIN_WEIGHT, weight))
+        self._late_share += weight * (is_late - self._late_share)
+        self._recorded_s = now_s
+
+    def _accepted_delay(self) -> float:
+        return MAX_DELAY_OBJECTIVES * max(
+            0.0, 1.0 - self._late_share / OVERLOAD_LATE_SHARE
+        )
--- a/packages/core/src/knapweedbridge_core/serving/memory_budget.py
+++ b/packages/core/src/knapweedbridge_core/serving/memory_budget.py
@@ -1,22 +1,22 @@
-"""One bound in bytes on what a daemon holds for callers, endpoints and peers."""
+"""Memory budget of a daemon for the data of callers, endpoints and peers."""
 
 from dataclasses import dataclass, field
 from enum import Enum
 
-SILENT_READER_S = 5.0
-"""How long a caller may read nothing while memory is scarce: callers leave a silent
-stream after 2 s themselves, and one that stalls for longer has most often gone."""
+STALLED_READER_S = 5.0
+"""How long a caller may read nothing while memory is scarce. Callers disconnect from a
+silent stream after 2 s themselves; one that stalls for longer has most likely gone."""
 
 SCARCE_SHARE = 0.5
-"""Part of the budget from which on callers that read nothing are disconnected: the
+"""Share of the budget from which on callers that read nothing are disconnected. The
 other half remains for those that read."""
 
 RETRY_AFTER_S = 0.5
-"""When a caller that was refused for want of memory should come back."""
+"""Retry-After of requests that were rejected for lack of memory."""
 
 
 class HeldKind(Enum):
-    """What memory is held for."""
+    """What memory is used for."""
 
     BODIES = "bodies"
     RESPONSES = "responses"
@@ -31,12 +31,12 @@
 
 @dataclass(slots=True)
 class MemoryBudget:
-    """Counts what is held, and tells what must be refused or given up.
+    """Counts memory in use, and decides what to reject or disconnect.
 
     Parameters
     ----------
     limit_bytes : int
-        Most that may be held before requests are refused; 0: any amount.
+        Most memory in use before requests are rejected; 0: no limit.
     """
 
     limit_bytes: int = 0
@@ -48,33 +48,33 @@
 
     @property
     def held_bytes(self) -> int:
-        """All that is held."""
+        """Total memory in use."""
         return sum(self._held.values())
 
     @property
     def is_scarce(self) -> bool:
-        """Whether more than half of the budget is used."""
+        """Whether more than `SCARCE_SHARE` of the budget is used."""
         return 0 < SCARCE_SHARE * self.limit_bytes < self.held_bytes
 
     def hold(self, kind: HeldKind, size_bytes: int) -> None:
-        """Count bytes that are held from now on; below zero, that are held no more."""
+        """Add to the bytes in use; a negative size releases bytes."""
         self._held[kind] += size_bytes
 
     def must_refuse(self, body_bytes: int) -> bool:
-        """Tell whether a new request must be refused, by the size of its body."""
+        """Return whether a request with a body of some size must be rejected."""
         if not self.limit_bytes or not body_bytes:
             return False
         return self.held_bytes + body_bytes > self.limit_bytes
 
     def begin_write(self, size_bytes: int, now_s: float) -> int:
-        """Take that a caller has yet to read some bytes; return its number."""
+        """Record bytes that a caller has yet to read; return the write's number."""
         self._last_reader += 1
         self._readers[self._last_reader] = _Reader(size_bytes, now_s)
         self.hold(HeldKind.RESPONSES, size_bytes)
         return self._last_reader
 
     def note_read(self, reader: int, size_bytes: int, now_s: float) -> None:
-        """Take that a caller has read some of them."""
+        """Record that a caller has read some of the bytes."""
         known = self._readers[reader]
         size_bytes = min(size_bytes, known.held_bytes)
         known.held_bytes -= size_bytes
@@ -82,18 +82,18 @@
         self.hold(HeldKind.RESPONSES, -size_bytes)
 
     def end_write(self, reader: int) -> None:
-        """Take that the caller has read all, or is gone."""
+        """Record that the caller has read all bytes, or has disconnected."""
         known = self._readers.pop(reader)
         self.hold(HeldKind.RESPONSES, -known.held_bytes)
 
     def silent_readers(self, now_s: float) -> list[int]:
-        """Return the callers that must be disconnected, the most silent first."""
+        """Return the writes whose callers to disconnect, longest stalled first."""
         if not self.is_scarce:
             return []
-        oldest_s = now_s - SILENT_READER_S
+        stalled_since_s = now_s - STALLED_READER_S
         found = [
             (each.read_s, number)
             for number, each in self._readers.items()
-            if each.read_s <= oldest_s
+            if each.read_s <= stalled_since_s
         ]
         return [number for _, number in sorted(found)]
--- a/packages/core/src/knapweedbridge_core/serving/overload.py
+++ b/packages/core/src/knapweedbridge_core/serving/overload.py
@@ -1,8 +1,8 @@
-"""What becomes of requests while engines cannot answer all of them in time.
+"""Overload policies: how requests are handled when engines cannot meet all deadlines.
 
-A request whose response is late whatever is done (it is overdue) must not make others
-late. So it goes to an engine only where that has capacity which no timely request
-wants, waits for that in a bounded queue, and is refused where the queue is full.
+A request that can no longer be answered within its objective is overdue. It must not
+delay requests that still can be. It is therefore sent only to engines with spare
+capacity, waits for it in a bounded queue, and is rejected if the queue is full.
 """
 
 import math
@@ -21,56 +21,56 @@
 )
 
 OVERLOAD_RETRY_AFTER_S = (1.0, 3.0)
-"""When callers should come back that no engine can serve in time: peaks last about
-two seconds, and those who return together would make the next one."""
+"""Range of the Retry-After of rejected requests. Peaks last about two seconds, and
+callers that all retry at the same time would cause the next peak."""
 
 LAST_RANK = 9
-"""Rank of overdue requests at an engine, after all others."""
+"""Rank of overdue requests at an engine, behind all other requests."""
 
-SPARE_SLOTS = 0.8
-"""Part of an engine's slots up to which it counts as having capacity left: an overdue
-request that has begun keeps its slot, and its steps are shared, for seconds."""
+SPARE_SLOTS_SHARE = 0.8
+"""Share of an engine's slots below which it has spare capacity. A running overdue
+request holds its slot and shares the engine's steps for seconds."""
 
-SPARE_PACE = 0.5
-"""Part of an engine's pace up to which prompts may be unread there while it counts as
-having capacity left: a timely prompt that comes next is still read in its window."""
+SPARE_PROMPT_SHARE = 0.5
+"""Share of an engine's prompt rate up to which it may have unprocessed prompt tokens
+and still have spare capacity. The next timely prompt is then still read in time."""
 
-QUEUE_LEAST = 2
-QUEUE_MOST = 64
-"""Bounds on the overdue requests that one daemon holds. The least of all daemons adds
-up: in a pool of 76 there are 152 before 30 engines, whose callers leave silent streams.
-"""
+MIN_QUEUE = 2
+MAX_QUEUE = 64
+"""Bounds on the queue of overdue requests of one daemon. The minimum adds up over the
+daemons: 76 of them queue 152 requests for 30 engines, and callers disconnect from
+streams that stay silent."""
 
-LEAST_PER_S = 1.0
-"""Least rate of sends that a time to come back is reckoned with."""
+MIN_SENDS_PER_S = 1.0
+"""Lowest send rate that is assumed when Retry-After is computed."""
 
 RATE_HALF_LIFE_S = 2.0
-"""Half-life of the rate at which overdue requests were sent: as long as peaks last."""
+"""Half-life of the measured send rate of overdue requests: the length of a peak."""
 
-SPREAD_S = 1.0
-"""Time over which those are spread that are to come back when the queue is empty."""
+RETRY_JITTER_S = 1.0
+"""Random time added to Retry-After, so that retries are spread out."""
 
-BACK_PART = 1 / 3
-"""Most of a caller's remaining time that it is told to stay away."""
+MAX_RETRY_AFTER_SHARE = 1 / 3
+"""Largest Retry-After, as a share of the time until the caller's deadline."""
 
-SOON_S = 0.5
-REFUSED_KEPT_S = 5.0
-REFUSED_MOST = 512
-"""A retry with less time spent, of a request that was refused here within
-`REFUSED_KEPT_S`, did not wait as it was told. That many requests are remembered."""
+EARLY_RETRY_S = 0.5
+REJECTED_KEPT_S = 5.0
+MAX_REJECTED = 512
+"""A retry within `REJECTED_KEPT_S` of a rejection here, whose caller has spent less
+than `EARLY_RETRY_S`, ignored its Retry-After. At most `MAX_REJECTED` are remembered."""
 
-LOOK_S = 0.1
-"""Pause between looks for capacity, where nothing is heard."""
+CHECK_INTERVAL_S = 0.1
+"""Interval between checks for spare capacity when no update arrives."""
 
 
 @dataclass(slots=True, frozen=True)
 class Admit:
-    """The request follows its choice: it is sent, or waits for its adapter.
+    """The placement's choice applies: the request is sent, or waits for its adapter.
 
     Parameters
     ----------
     rank : int or None
-        Rank at the engine; None: that of its route.
+        Rank at the engine; None: the rank of the route.
     """
 
     choice: Choice
@@ -79,19 +79,19 @@
 
 @dataclass(slots=True, frozen=True)
 class Wait:
-    """The request waits for capacity that no timely request wants."""
+    """The request waits for spare capacity."""
 
     until_s: float
 
 
 @dataclass(slots=True, frozen=True)
 class Reject:
-    """The request is refused, as one that was not run.
+    """The request is rejected without having been run.
 
     Parameters
     ----------
     is_overdue : bool
-        Whether it found no place among those that wait for remaining capacity.
+        Whether it is overdue and the queue for spare capacity had no place for it.
     """
 
     reason: str
@@ -103,60 +103,60 @@
 
 
 def has_spare(engine: Endpoint) -> bool:
-    """Tell whether an engine has capacity that no timely request wants."""
-    is_calm = engine.unread_tokens <= SPARE_PACE * engine.pace_tokens
-    return is_calm and _spare_places(engine) > 0
+    """Return whether an engine has capacity that timely requests do not need."""
+    is_calm = engine.unread_tokens <= SPARE_PROMPT_SHARE * engine.pace_tokens
+    return is_calm and _spare_slots(engine) > 0
 
 
-def _spare_places(engine: Endpoint) -> int:
-    return math.ceil(SPARE_SLOTS * engine.record.slots - engine.calls)
+def _spare_slots(engine: Endpoint) -> int:
+    return math.ceil(SPARE_SLOTS_SHARE * engine.record.slots - engine.calls)
 
 
 class OverloadPolicy(ABC):
-    """Decides what becomes of requests that engines cannot answer in time."""
+    """Decides how to handle requests that engines cannot answer in time."""
 
     @abstractmethod
     def is_overdue(self, call: PendingRequest, now_s: float) -> bool:
-        """Tell whether a request gets remaining capacity only, before it is placed."""
+        """Return whether a request may use spare capacity only."""
 
     @abstractmethod
     def patience_s(self, call: PendingRequest, accepted: bool, now_s: float) -> float:
-        """Return the longest wait for a first event that a request is placed with."""
+        """Return the longest first-event wait to place a request with."""
 
     @abstractmethod
     def eligible_engines(
         self, call: PendingRequest, engines: list[Endpoint], now_s: float
     ) -> list[Endpoint]:
-        """Return the engines among which a request is placed."""
+        """Return the engines that a request may be placed on."""
 
     @abstractmethod
     def decide(self, call: PendingRequest, choice: Choice, now_s: float) -> Verdict:
-        """Decide on a request for which a placement has made its choice."""
+        """Decide on a request, given the choice of the placement."""
 
     @abstractmethod
     def queued(self) -> int:
-        """Return how many overdue requests wait here."""
+        """Return the number of overdue requests in the queue."""
 
     @abstractmethod
     def left(self, call: PendingRequest, now_s: float, sent: bool) -> None:
-        """Take that a request was sent, was refused, or that its caller left."""
+        """Record that a request was sent or rejected, or its caller disconnected."""
 
     @abstractmethod
-    def next_due(self, call: PendingRequest, now_s: float) -> float:
-        """Return when a waiting request is to be judged again at the latest."""
+    def next_check_s(self, call: PendingRequest, now_s: float) -> float:
+        """Return when a waiting request must be decided on again at the latest."""
 
 
 class AdmitAll(OverloadPolicy):
-    """Overdue requests compete with all others; see `LateAdmission`.
+    """Treats overdue requests like all others; see `LateAdmission`.
 
     Parameters
     ----------
-    luck : random.Random, optional
+    rng : random.Random, optional
         Spreads the times at which callers come back.
     """
 
-    def __init__(self, luck: random.Random | None = None) -> None:
-        self._luck = luck or random.Random()
+    def __init__(self, rng: random.Random | None = None) -> None:
+        self._rng = rng or random.Random()
 
     def is_overdue(self, call: PendingRequest, now_s: float) -> bool:
         """See `OverloadPolicy.is_overdue`."""
@@ -178,7 +178,7 @@
             return Admit(choice)
         if call.may_have_run:
             return _admit_late(choice)
-        after_s = self._luck.uniform(*OVERLOAD_RETRY_AFTER_S) + choice.over_s
+        after_s = self._rng.uniform(*OVERLOAD_RETRY_AFTER_S) + choice.over_s
         return Reject("overloaded", after_s)
 
     def queued(self) -> int:
@@ -188,37 +188,37 @@
     def left(self, call: PendingRequest, now_s: float, sent: bool) -> None:
         """See `OverloadPolicy.left`."""
 
-    def next_due(self, call: PendingRequest, now_s: float) -> float:
-        """See `OverloadPolicy.next_due`."""
+    def next_check_s(self, call: PendingRequest, now_s: float) -> float:
+        """See `OverloadPolicy.next_check_s`."""
         return math.inf
 
 
 class OverdueLast(OverloadPolicy):
-    """Overdue requests get the capacity that timely ones leave.
+    """Gives overdue requests only the capacity that timely requests leave.
 
     Parameters
     ----------
-    luck : random.Random, optional
+    rng : random.Random, optional
         Spreads the times at which callers come back.
     """
 
-    def __init__(self, luck: random.Random | None = None) -> None:
-        self._luck = luck or random.Random()
+    def __init__(self, rng: random.Random | None = None) -> None:
+        self._rng = rng or random.Random()
         self._waiting: dict[int, PendingRequest] = {}
         self._sent_per_s = 0.0
         self._sent_s = 0.0
-        self._refused: OrderedDict[str, float] = OrderedDict()
+        self._rejected: OrderedDict[str, float] = OrderedDict()
 
     def is_overdue(self, call: PendingRequest, now_s: float) -> bool:
         """See `OverloadPolicy.is_overdue`.
 
-        One that waits here but may still be in time is placed as others are.
+        A request that waits here but may still be in time is placed like any other.
         """
         if call.may_have_run or call.begun:
             return False
         if call.waited_s(now_s) > call.route.objective_s:
             return True
-        return self._is_hasty(call)
+        return self._is_early_retry(call)
 
     def patience_s(self, call: PendingRequest, accepted: bool, now_s: float) -> float:
         """See `OverloadPolicy.patience_s`."""
@@ -232,82 +232,82 @@
         """See `OverloadPolicy.eligible_engines`."""
         if not self.is_overdue(call, now_s) or now_s >= call.wait_ends_s:
             return engines
-        spare = [each for each in _without_moves(call, engines) if has_spare(each)]
-        free = sum(_spare_places(each) for each in spare)
-        return spare if free > self._before(call) else []
+        spare = [each for each in _without_evictions(call, engines) if has_spare(each)]
+        free = sum(_spare_slots(each) for each in spare)
+        return spare if free > self._count_ahead(call) else []
 
-    def _before(self, call: PendingRequest) -> int:
-        """Return how many of those that wait get capacity before a request."""
-        place = _place_in_queue(call)
-        return sum(_place_in_queue(each) < place for each in self._waiting.values())
+    def _count_ahead(self, call: PendingRequest) -> int:
+        """Return the number of waiting requests that are ahead of a request."""
+        place = _queue_position(call)
+        return sum(_queue_position(each) < place for each in self._waiting.values())
 
     def decide(self, call: PendingRequest, choice: Choice, now_s: float) -> Verdict:
         """See `OverloadPolicy.judge`."""
         if call.may_have_run:
             return _admit_late(choice)
         if not self.is_overdue(call, now_s):
-            return self._judge_timely(call, choice, now_s)
+            return self._decide_timely(call, choice, now_s)
         if now_s >= call.wait_ends_s:
             return self._end_wait(call, choice, now_s)
         if isinstance(choice, SendTo):
             return Admit(choice, LAST_RANK)
-        if not self._has_place(call, now_s):
+        if not self._enqueue(call, now_s):
             return self._reject(call, now_s)
         if isinstance(choice, NoEngine | TooLate):
-            return Wait(self.next_due(call, now_s))
+            return Wait(self.next_check_s(call, now_s))
         return Admit(choice, LAST_RANK)
 
-    def _judge_timely(
+    def _decide_timely(
         self, call: PendingRequest, choice: Choice, now_s: float
     ) -> Verdict:
         if not isinstance(choice, TooLate):
             return Admit(choice)
-        if now_s >= call.wait_ends_s or not self._has_place(call, now_s):
+        if now_s >= call.wait_ends_s or not self._enqueue(call, now_s):
             return self._reject(call, now_s)
-        return Wait(self.next_due(call, now_s))
+        return Wait(self.next_check_s(call, now_s))
 
     def _end_wait(self, call: PendingRequest, choice: Choice, now_s: float) -> Verdict:
-        # Sent when its caller leaves, it would only take an engine's time.
-        if isinstance(choice, SendTo) and now_s < call.leaves_s:
+        # Once the caller has disconnected, the request would only waste engine time.
+        if isinstance(choice, SendTo) and now_s < call.disconnect_s:
             return Admit(choice, LAST_RANK)
         return self._reject(call, now_s)
 
-    def _has_place(self, call: PendingRequest, now_s: float) -> bool:
-        """Tell whether a request may wait, and take its place in the queue."""
+    def _enqueue(self, call: PendingRequest, now_s: float) -> bool:
+        """Return whether a request may wait, and add it to the queue if so."""
         if call.key not in self._waiting:
-            if len(self._waiting) >= self._most(call, now_s):
+            if len(self._waiting) >= self._queue_limit(call, now_s):
                 return False
             self._waiting[call.key] = call
         return True
 
-    def _most(self, call: PendingRequest, now_s: float) -> float:
-        """Return how many may wait, by what is sent while this one waits."""
+    def _queue_limit(self, call: PendingRequest, now_s: float) -> float:
+        """Return the queue limit: the sends expected while this request waits."""
         expected = self._rate_per_s(now_s) * (call.wait_ends_s - now_s)
-        return min(QUEUE_MOST, max(QUEUE_LEAST, expected))
+        return min(MAX_QUEUE, max(MIN_QUEUE, expected))
 
     def _reject(self, call: PendingRequest, now_s: float) -> Reject:
-        empty_s = len(self._waiting) / max(LEAST_PER_S, self._rate_per_s(now_s))
-        after_s = empty_s + self._luck.uniform(0.0, SPREAD_S)
-        most_s = BACK_PART * max(0.0, call.deadline_s - now_s)
-        if after_s > most_s:
-            # Cut to the same time, all would come back at once.
-            after_s = self._luck.uniform(0.5, 1.0) * most_s
-        self._note_refused(call.mark, now_s)
+        drain_s = len(self._waiting) / max(MIN_SENDS_PER_S, self._rate_per_s(now_s))
+        after_s = drain_s + self._rng.uniform(0.0, RETRY_JITTER_S)
+        max_s = MAX_RETRY_AFTER_SHARE * max(0.0, call.deadline_s - now_s)
+        if after_s > max_s:
+            # Without jitter, all callers with the same limit would retry at once.
+            after_s = self._rng.uniform(0.5, 1.0) * max_s
+        self._record_rejected(call.mark, now_s)
         return Reject("overloaded", after_s, is_overdue=True)
 
-    def _note_refused(self, mark: str, now_s: float) -> None:
+    def _record_rejected(self, mark: str, now_s: float) -> None:
         if not mark:
             return
-        self._refused[mark] = now_s
-        self._refused.move_to_end(mark)
-        if len(self._refused) > REFUSED_MOST:
-            self._refused.popitem(last=False)
+        self._rejected[mark] = now_s
+        self._rejected.move_to_end(mark)
+        if len(self._rejected) > MAX_REJECTED:
+            self._rejected.popitem(last=False)
 
-    def _is_hasty(self, call: PendingRequest) -> bool:
-        # What is refused while a request waits says nothing of that request.
-        refused_s = self._refused.get(call.mark, -math.inf)
-        since_s = call.received_s - refused_s
-        return call.spent_s < SOON_S and 0.0 < since_s < REFUSED_KEPT_S
+    def _is_early_retry(self, call: PendingRequest) -> bool:
+        # Rejections that happen after a request arrived are not its own earlier ones.
+        rejected_s = self._rejected.get(call.mark, -math.inf)
+        since_s = call.received_s - rejected_s
+        return call.spent_s < EARLY_RETRY_S and 0.0 < since_s < REJECTED_KEPT_S
 
     def _rate_per_s(self, now_s: float) -> float:
         age_s = max(0.0, now_s - self._sent_s)
@@ -324,17 +324,21 @@
             self._sent_per_s = self._rate_per_s(now_s) + step
             self._sent_s = now_s
 
-    def next_due(self, call: PendingRequest, now_s: float) -> float:
-        """See `OverloadPolicy.next_due`."""
+    def next_check_s(self, call: PendingRequest, now_s: float) -> float:
+        """See `OverloadPolicy.next_check_s`."""
         ends_s = call.wait_ends_s
-        return min(ends_s, now_s + LOOK_S) if ends_s > now_s else now_s + LOOK_S
+        return (
+            min(ends_s, now_s + CHECK_INTERVAL_S)
+            if ends_s > now_s
+            else now_s + CHECK_INTERVAL_S
+        )
 
 
-def _without_moves(call: PendingRequest, engines: list[Endpoint]) -> list[Endpoint]:
-    """Return the engines that a request can use without an adapter giving way.
+def _without_evictions(call: PendingRequest, engines: list[Endpoint]) -> list[Endpoint]:
+    """Return the engines that can run a request without evicting an adapter.
 
-    Placed on any engine with capacity left, overdue requests had their adapters loaded
-    there, in the places of those that timely requests use.
+    If overdue requests could use any engine with spare capacity, loading their adapters
+    would evict those that timely requests use.
     """
     if call.model is None or not call.model.adapter:
         return engines
@@ -343,11 +347,11 @@
 
 
 def _admit_late(choice: Choice) -> Admit:
-    # It cannot be told that it was not run: to refuse it would fail it, and a late
-    # answer is better than none.
+    # A request that may have run cannot be rejected as not run. Rejecting it would fail
+    # it, and a late response is better than none.
     return Admit(choice.instead if isinstance(choice, TooLate) else choice)
 
 
-def _place_in_queue(call: PendingRequest) -> tuple[int, float, int]:
-    """Order of those that wait: the most urgent first, then the next deadline."""
+def _queue_position(call: PendingRequest) -> tuple[int, float, int]:
+    """Return the sort key of the queue: the most urgent, then the earliest deadline."""
     return call.route.urgency, call.deadline_s, call.key
--- a/packages/core/src/knapweedbridge_core/serving/permits.py
+++ b/packages/core/src/knapweedbridge_core/serving/permits.py
@@ -1,8 +1,9 @@
-"""Permits for calls to an endpoint that takes a limited number a second.
+"""Permits for requests to an endpoint that limits its requests a second.
 
-The limit holds for all daemons together. One of them, the keeper, gives permits at that
-rate, and each daemon asks it before it sends a call. A share for each daemon would not
-do: daemons are many and calls few, so one call of each is more than the limit already.
+The limit holds for all daemons together. One of them, the keeper, grants permits at
+that rate, and each daemon requests one before it sends a request. A share for each
+daemon would not work: with many daemons and few requests, one request of each already
+exceeds the limit.
 """
 
 from knapweedbridge_core.rendezvous import choose
@@ -10,31 +11,31 @@
 from knapweedbridge_core.serving.model_ref import ModelRef
 
 BURST_S = 0.5
-"""Permits that are saved up while none is asked for, in seconds of the limit."""
+"""Permits that accumulate while none is requested, in seconds of the limit."""
 
-LONGEST_INTERVAL_S = 4.0
-"""Longest time between permits: only a call can show that a limit has ended."""
+MAX_INTERVAL_S = 4.0
+"""Longest time between permits: only a response can show that a limit was lifted."""
 
 TAKE_OVER_S = 1.0
-"""How long a new keeper gives nothing: the one before may not have heard of it yet."""
+"""How long a new keeper grants nothing, as its predecessor may not know of it yet."""
 
 UNLEASED_SHARE = 0.25
-"""Share of the limit that a keeper without a lease gives: daemons that reach the store
-may have another keeper by then."""
+"""Share of the limit that a keeper without a lease grants. Daemons that reach the store
+may use another keeper by then."""
 
 LEAST_WAIT_S = 0.02
-"""Shortest time for which a daemon that got no permit asks for no other."""
+"""Shortest pause of a daemon before it asks again after it got no permit."""
 
 ROUNDING = 1e-9
 
 
 class PermitBucket:
-    """Gives the permits of one endpoint; times are of the keeper's clock.
+    """Token bucket for the permits of one endpoint, on the keeper's clock.
 
     Parameters
     ----------
     begins_s : float
-        Before this no permit is given.
+        Time before which no permit is granted.
     """
 
     __slots__ = ("_filled_s", "_heard_s", "_level", "limit_per_s")
@@ -48,7 +49,7 @@
     def update_limit(
         self, limit_per_s: float | None, heard_s: float, now_s: float
     ) -> bool:
-        """Take what a daemon has heard of the limit; tell whether that is news."""
+        """Update the limit that a daemon received; return whether it changed."""
         if heard_s < self._heard_s:
             return False
         self._heard_s = heard_s
@@ -59,7 +60,7 @@
         return changed
 
     def heard_age_s(self, now_s: float) -> float:
-        """Return how long ago the limit was heard."""
+        """Return how long ago the limit was received."""
         return now_s - self._heard_s
 
     def take(self, now_s: float, share: float = 1.0) -> float:
@@ -68,16 +69,16 @@
         Parameters
         ----------
         share : float
-            Part of the limit that is given.
+            Share of the limit that is granted.
 
         Returns
         -------
         float
-            0.0 where one is given, else seconds after which one may be.
+            0.0 if a permit is granted, else the seconds until one may be available.
         """
         if self.limit_per_s is None:
             return 0.0
-        rate_per_s = max(share * self.limit_per_s, 1 / LONGEST_INTERVAL_S)
+        rate_per_s = max(share * self.limit_per_s, 1 / MAX_INTERVAL_S)
         self._fill(rate_per_s, now_s)
         if self._level + ROUNDING >= 1.0:
             self._level -= 1.0
@@ -96,27 +97,28 @@
 def permit_keeper(
     endpoint: str, data_centre: str, candidates: dict[str, list[str]]
 ) -> str | None:
-    """Name the daemon that gives an endpoint's permits; None where nobody is known.
+    """Return the daemon that grants an endpoint's permits; None if none is known.
 
     Parameters
     ----------
     data_centre : str
-        Where the endpoint stands; a daemon there is taken if there is one.
+        Data centre of the endpoint; a daemon there is preferred.
     candidates : dict of str to list of str
-        By data centre, daemons that may be keepers.
+        Daemons that may be keepers, by data centre.
     """
-    near = candidates.get(data_centre)
-    return choose(endpoint, near or [n for each in candidates.values() for n in each])
+    local = candidates.get(data_centre)
+    return choose(endpoint, local or [n for each in candidates.values() for n in each])
 
 
 def exclude_limited(engines: list[Endpoint], model: ModelRef) -> list[Endpoint]:
-    """Leave out limited engines that would have to load a model, where others can.
+    """Return the engines without limited ones that would have to load the model.
 
-    Orders count among the calls that a limited engine takes.
+    Load orders count against the limit of an engine. All engines are returned if none
+    is left.
     """
-    able = [
+    allowed = [
         engine
         for engine in engines
         if not (engine.pressure.is_limited and model.adapter) or model in engine.held
     ]
-    return able or engines
+    return allowed or engines
--- a/packages/core/src/knapweedbridge_core/serving/plain_choice.py
+++ b/packages/core/src/knapweedbridge_core/serving/plain_choice.py
@@ -1,4 +1,4 @@
-"""Which plain endpoint a call goes to."""
+"""Chooses the plain endpoint for a request."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -6,34 +6,38 @@
 from knapweedbridge_core.serving.endpoint import Endpoint
 from knapweedbridge_core.serving.plain_load import PlainState
 
-REMOTE_CALLS = 0.9
-"""What another data centre counts as, in calls: of two with the same calls the near
-one is taken, and one more call on the near one turns it round."""
+REMOTE_COST_CALLS = 0.9
+"""Cost of another data centre, in requests. The local one of two endpoints with equally
+many requests is chosen, and one more request there reverses that."""
 
-FAILING_CALLS = 12.0
-"""What an endpoint that fails all its calls counts as: twice the places of a small
-endpoint, so that one with good health and bad answers is left for a while."""
+FAILING_COST_CALLS = 12.0
+"""Cost of an endpoint that fails all requests, in requests: twice the slots of a small
+endpoint, so that one which passes health checks but fails requests is avoided."""
 
-REMOTE_SHARE = 0.05
-"""What another data centre costs where all requests are counted, in objectives."""
+REMOTE_COST_OBJECTIVES = 0.05
+"""Cost of another data centre if all requests are counted, in objectives."""
 
-TYPICAL_SHARE = 0.25
-"""What a request takes while nobody knows, in objectives: enough for a queue to cost
-something."""
+DEFAULT_WORK_OBJECTIVES = 0.25
+"""Assumed duration of a request while none is known, in objectives: large enough for a
+queue to have a cost."""
 
-FAILING_OBJECTIVES = 2.0
-"""What an endpoint that fails all its requests costs, in objectives: failures come
-sooner than answers, so its requests seem to take less time than elsewhere."""
+FAILING_COST_OBJECTIVES = 2.0
+"""Cost of an endpoint that fails all requests, in objectives. Errors arrive sooner than
+responses, so its requests seem to take less time than elsewhere."""
 
 
 @dataclass(slots=True, frozen=True)
 class PlainAsk:
-    """Where a call comes from and where it must not go again.
+    """A request to a plain endpoint, as far as it matters to the choice.
 
     Parameters
     ----------
+    data_centre : str
+        Data centre of the daemon that sends it.
+    tried : frozenset of str
+        Endpoints that it was sent to before.
     objective_s : float
-        Time within which its answer should come.
+        Time within which the response should arrive.
     """
 
     data_centre: str
@@ -44,22 +48,22 @@
 def choose_plain(
     ask: PlainAsk, endpoints: list[Endpoint], now_s: float
 ) -> Endpoint | None:
-    """Return the endpoint with the least before a call, or None without any."""
+    """Return the endpoint with the lowest cost, or None without any."""
     fresh = [each for each in endpoints if each.name not in ask.tried]
     return min(
-        fresh or endpoints, key=lambda each: _before(each, ask, now_s), default=None
+        fresh or endpoints, key=lambda each: _load_cost(each, ask, now_s), default=None
     )
 
 
-def _before(endpoint: Endpoint, ask: PlainAsk, now_s: float) -> float:
+def _load_cost(endpoint: Endpoint, ask: PlainAsk, now_s: float) -> float:
     remote = endpoint.record.data_centre != ask.data_centre
     calls = endpoint.own_calls / max(1, endpoint.record.slots) * 6
     failing = endpoint.failing_share(now_s)
-    return calls + REMOTE_CALLS * remote + FAILING_CALLS * failing
+    return calls + REMOTE_COST_CALLS * remote + FAILING_COST_CALLS * failing
 
 
 PlainStates = Mapping[str, PlainState]
-"""What the counting daemons told of endpoints, by endpoint."""
+"""States of endpoints as reported by their counting daemons, by endpoint."""
 
 
 def is_clearly_best(
@@ -69,15 +73,15 @@
     states: PlainStates,
     now_s: float,
 ) -> bool:
-    """Tell whether no other endpoint can be expected to answer sooner than this one.
+    """Return whether no other endpoint can be expected to respond sooner.
 
-    The others are taken to be idle and to have no slow period, so only where one of
-    them could be better are their counting daemons asked as well.
+    The others are assumed to be idle and in no slow period. Their counting daemons need
+    to be asked only if one of them could be better.
 
     Parameters
     ----------
     states : mapping of str to PlainState
-        Of this endpoint what was told just now, of the others what was told last.
+        The current state of this endpoint, and the last known states of the others.
     """
     state = states.get(endpoint.name)
     if state is None or _is_full(endpoint, state):
@@ -95,12 +99,12 @@
 def choose_counted(
     ask: PlainAsk, endpoints: list[Endpoint], states: PlainStates, now_s: float
 ) -> Endpoint | None:
-    """Return the endpoint that is expected to answer first, or None without any.
+    """Return the endpoint that is expected to respond first, or None without any.
 
-    An endpoint of which nothing is told counts as running this daemon's requests alone,
+    An endpoint without a known state is assumed to run only requests of this daemon,
     each taking as long as at the slowest of the others.
     """
-    typical_s = TYPICAL_SHARE * ask.objective_s
+    typical_s = DEFAULT_WORK_OBJECTIVES * ask.objective_s
     fresh = [each for each in endpoints if each.name not in ask.tried] or endpoints
     unknown_s = max((each.work_s for each in states.values()), default=0) or typical_s
 
@@ -121,9 +125,9 @@
 
 
 def _failing_s(ask: PlainAsk, endpoint: Endpoint, now_s: float) -> float:
-    return FAILING_OBJECTIVES * ask.objective_s * endpoint.failing_share(now_s)
+    return FAILING_COST_OBJECTIVES * ask.objective_s * endpoint.failing_share(now_s)
 
 
 def _work_s(ask: PlainAsk, endpoint: Endpoint, work_s: float) -> float:
     remote = endpoint.record.data_centre != ask.data_centre
-    return work_s + REMOTE_SHARE * ask.objective_s * remote
+    return work_s + REMOTE_COST_OBJECTIVES * ask.objective_s * remote
--- a/packages/core/src/knapweedbridge_core/serving/quota_balance.py
+++ b/packages/core/src/knapweedbridge_core/serving/quota_balance.py
@@ -1,4 +1,4 @@
-"""What one daemon holds of a client account's quota, and whom it asks for more."""
+"""Units of a client account's quota that one daemon holds and requests."""
 
 import math
 from collections import deque
@@ -6,23 +6,24 @@
 from knapweedbridge_core.rendezvous import score
 from knapweedbridge_core.serving.quotas import AHEAD_S, QuotaGrant
 
-HELD_S = 2.0
-"""How long units are held: those that no call used by then are lost, so daemons that
-an account has left keep nothing of its quota."""
+UNIT_LIFETIME_S = 2.0
+"""How long units are held. Unused units expire, so that daemons which an account no
+longer uses keep nothing of its quota."""
 
-USE_S = 1.5
+USE_WINDOW_S = 1.5
 """Time over which a daemon's own use is averaged."""
 
-SILENT_S = 0.15
-"""How long a keeper that gave no answer is passed over."""
+SILENT_KEEPER_S = 0.15
+"""How long a keeper that did not reply is skipped."""
 
 
 def nearest_first(
     asker: str, data_centre: str, keepers: list[str], places: dict[str, str]
 ) -> list[str]:
-    """Order the keepers of an account for one daemon.
+    """Order the keepers of an account for one daemon, nearest first.
 
-    Those of its data centre go first, and each daemon begins with another one.
+    Those of its data centre come first. Among them each daemon has another order, so
+    that requests are spread.
 
     Parameters
     ----------
@@ -37,90 +38,91 @@
 
 
 class QuotaBalance:
-    """Units of one account that one daemon holds; all times are of its own clock."""
+    """Units of one account that one daemon holds, on its own clock."""
 
     __slots__ = (
         "_call_units",
-        "_lots",
-        "_passed_over",
-        "_silent",
+        "_batches",
+        "_skipped_until_s",
+        "_silent_keepers",
         "_use_per_s",
         "_used_s",
     )
 
     def __init__(self) -> None:
-        self._lots: deque[tuple[float, int]] = deque()
+        self._batches: deque[tuple[float, int]] = deque()
         self._use_per_s = 0.0
         self._call_units = 0
         self._used_s = float("-inf")
-        self._passed_over: dict[str, float] = {}
-        self._silent: set[str] = set()
+        self._skipped_until_s: dict[str, float] = {}
+        self._silent_keepers: set[str] = set()
 
     def held(self, now_s: float) -> int:
-        """Return the units that are held."""
-        while self._lots and self._lots[0][0] <= now_s:
-            self._lots.popleft()
-        return sum(units for _, units in self._lots)
+        """Return the unexpired units that are held."""
+        while self._batches and self._batches[0][0] <= now_s:
+            self._batches.popleft()
+        return sum(units for _, units in self._batches)
 
     def put(self, units: int, now_s: float) -> None:
-        """Take units that a keeper gave, or that a call gave back."""
+        """Add units that a keeper granted or a request returned."""
         if units > 0:
-            self._lots.append((now_s + HELD_S, units))
+            self._batches.append((now_s + UNIT_LIFETIME_S, units))
 
     def record_use(self, units: int, now_s: float) -> None:
-        """Take that a call wants units, whether it gets them or not."""
-        fading = math.exp(-(now_s - self._used_s) / USE_S)
-        self._use_per_s = self._use_per_s * fading + units / USE_S
+        """Record the units that a request needs, whether or not it gets them."""
+        decay = math.exp(-(now_s - self._used_s) / USE_WINDOW_S)
+        self._use_per_s = self._use_per_s * decay + units / USE_WINDOW_S
         self._used_s = now_s
         self._call_units = max(units, self._call_units // 2)
 
     def spend(self, units: int, now_s: float) -> bool:
-        """Spend units on a call, those that lapse first first; False: too few."""
+        """Spend units on a request, the first to expire first; False: too few."""
         if self.held(now_s) < units:
             return False
         while units > 0:
-            until_s, lot = self._lots.popleft()
-            if lot > units:
-                self._lots.appendleft((until_s, lot - units))
-            units -= lot
+            until_s, batch = self._batches.popleft()
+            if batch > units:
+                self._batches.appendleft((until_s, batch - units))
+            units -= batch
         return True
 
     def ahead(self, now_s: float) -> int:
-        """Return the units to ask for calls that are still to come.
+        """Return the units to prefetch for future requests.
 
-        None where that is less than a call takes: held by many daemons, such rests
-        would lapse again and again, and a small account be refused for want of them.
+        Returns 0 if that is less than one request needs. Such remainders, held by many
+        daemons, would expire again and again, and a small account would be refused
+        for lack of them.
         """
-        fading = math.exp(-(now_s - self._used_s) / USE_S)
-        units = int(self._use_per_s * fading * AHEAD_S)
+        decay = math.exp(-(now_s - self._used_s) / USE_WINDOW_S)
+        units = int(self._use_per_s * decay * AHEAD_S)
         return units if units >= self._call_units else 0
 
     def answered(self, keeper: str, given: QuotaGrant, now_s: float) -> None:
-        """Take a keeper's answer."""
+        """Record a keeper's reply."""
         self.put(given.units, now_s)
-        self._silent.discard(keeper)
+        self._silent_keepers.discard(keeper)
         if given.wait_s:
-            self._passed_over[keeper] = now_s + given.wait_s
+            self._skipped_until_s[keeper] = now_s + given.wait_s
 
     def unanswered(self, keeper: str, now_s: float) -> None:
-        """Take that a keeper gave no answer."""
-        self._passed_over[keeper] = now_s + SILENT_S
-        self._silent.add(keeper)
+        """Record that a keeper did not reply."""
+        self._skipped_until_s[keeper] = now_s + SILENT_KEEPER_S
+        self._silent_keepers.add(keeper)
 
     def next_keeper(self, keepers: list[str], now_s: float) -> str | None:
-        """Return whom to ask, or None while none has anything to give."""
-        self._passed_over = {
+        """Return the keeper to ask next, or None while none has units to grant."""
+        self._skipped_until_s = {
             name: until_s
-            for name, until_s in self._passed_over.items()
+            for name, until_s in self._skipped_until_s.items()
             if until_s > now_s and name in keepers
         }
-        able = (name for name in keepers if name not in self._passed_over)
+        able = (name for name in keepers if name not in self._skipped_until_s)
         return next(able, None)
 
     def has_silent_keeper(self, keepers: list[str]) -> bool:
-        """Tell whether a keeper is silent that may have something to give."""
-        return not self._silent.isdisjoint(keepers)
+        """Return whether a keeper that may have units does not reply."""
+        return not self._silent_keepers.isdisjoint(keepers)
 
     def wait_s(self, now_s: float) -> float:
-        """Return after how long a keeper may have something to give again."""
-        return max(0.0, min(self._passed_over.values(), default=now_s) - now_s)
+        """Return the seconds until a keeper may have units to grant again."""
+        return max(0.0, min(self._skipped_until_s.values(), default=now_s) - now_s)
--- a/packages/core/src/knapweedbridge_core/serving/quotas.py
+++ b/packages/core/src/knapweedbridge_core/serving/quotas.py
@@ -1,9 +1,9 @@
-"""What a client account may use over all daemons, split among some of them.
+"""Quotas of client accounts, enforced over all daemons.
 
-An account's quota is divided into equal parts. Each part is kept by one daemon, which
-gives units of it to the daemons that ask, as calls come. Nothing of the bound rests on
-what a daemon hears of others: a part that is out of reach gives nothing, and a keeper
-that starts anew begins with an empty part, so no burst is given out twice.
+An account's quota is divided into equal parts. Each part is a token bucket held by one
+daemon, its keeper, which grants units to the daemons that request them. The bound does
+not depend on what daemons know of each other: an unreachable part grants nothing, and a
+keeper that restarts begins with an empty bucket, so no burst is granted twice.
 """
 
 from dataclasses import dataclass
@@ -11,50 +11,50 @@
 from knapweedbridge_core.rendezvous import score
 from knapweedbridge_core.serving.accounts import Quota, QuotaUnit
 
-MOST_PARTS = 6
-"""Parts of one quota. While a keeper is gone the others give five sixths."""
+MAX_PARTS = 6
+"""Most parts of one quota. If one of six keepers is down, five sixths remain."""
 
-PART_UNITS_PER_S = {QuotaUnit.CALLS: 20.0, QuotaUnit.TOKENS: 20_000.0}
-"""Rate of the smallest part of a divided quota: in smaller ones a large call leaves
-nothing to the calls behind it for seconds."""
+MIN_PART_UNITS_PER_S = {QuotaUnit.CALLS: 20.0, QuotaUnit.TOKENS: 20_000.0}
+"""Lowest rate of a part of a divided quota. In a smaller part, a large request would
+leave nothing to the requests behind it for seconds."""
 
-LARGEST_CALL_UNITS = {QuotaUnit.CALLS: 1, QuotaUnit.TOKENS: 5000}
-"""How far one call may overdraw a part: large calls would else never find enough in a
-part that small ones use."""
+MAX_OVERDRAFT_UNITS = {QuotaUnit.CALLS: 1, QuotaUnit.TOKENS: 5000}
+"""How far one request may overdraw a part. Otherwise large requests would never find
+enough units in a part that small ones use."""
 
-FLOW_SHARE = 0.3
+REFILL_SHARE = 0.3
 BURST_SHARE = 0.6
-"""Shares of what is accepted beyond a quota's rate that come into its parts as a steady
-flow, and that parts give at once. The rest is for the moments in which two daemons take
-themselves for the keeper of a part."""
+"""Shares of the tolerance beyond a quota's rate that refill its parts steadily, and
+that parts grant as a burst. The rest covers the time in which two daemons both consider
+themselves the keeper of a part."""
 
-OVERDRAFT_SHARE = 0.6
-"""Most of what a part gives at once that it gives beyond what is there."""
+MAX_OVERDRAFT_SHARE = 0.6
+"""Largest overdraft of a part, as a share of its burst."""
 
 TAKE_OVER_S = 1.0
-"""How long a new keeper gives nothing: the one before may not have heard of it yet."""
+"""How long a new keeper grants nothing, as its predecessor may not know of it yet."""
 
 AHEAD_S = 0.4
-"""Use that a daemon holds ahead, in seconds of its own use of late: where an account
-calls often its calls wait for no answer, and no keeper is missed for a moment."""
+"""Units that a daemon prefetches, in seconds of its own recent use. Frequent requests
+of an account then wait for no reply, and a short loss of a keeper is not noticed."""
 
 LEAST_WAIT_S = 0.1
-"""Shortest time for which a daemon asks a keeper no more that had too little: what an
-account sends beyond its quota would else be a question a call."""
+"""Shortest pause before a keeper with too few units is asked again. Otherwise every
+request beyond the quota would cause a message."""
 
 
 @dataclass(slots=True, frozen=True)
 class QuotaTolerance:
-    """What the operators accept beyond a quota, and over which window they count.
+    """How much use beyond a quota is tolerated, and in which window it is counted.
 
     Parameters
     ----------
     window_s : float
         Length of a window, in seconds.
     over : float
-        Share beyond the quota that is accepted in a window.
+        Share beyond the quota that is tolerated in a window.
     slack_units : float
-        Units that are accepted besides.
+        Units that are tolerated in addition.
     """
 
     window_s: float = 8.0
@@ -62,7 +62,7 @@
     slack_units: float = 0.0
 
     def margin(self, quota: Quota) -> float:
-        """Return the units of a window beyond its rate that parts may give."""
+        """Return the units that all parts may grant in a window beyond the rate."""
         accepted = self.over * (quota.rate_per_s * self.window_s + quota.burst)
         held = AHEAD_S * quota.rate_per_s
         return max(0.0, accepted + self.slack_units + quota.burst - held)
@@ -75,13 +75,13 @@
     Parameters
     ----------
     parts : int
-        How many there are.
+        Number of parts of the quota.
     rate_per_s : float
-        Units that come into it a second.
+        Units added to the part a second.
     most : float
-        Units that it saves up.
+        Capacity of its bucket, in units.
     overdraft : float
-        Units that one call may take beyond what is there.
+        Units by which one request may overdraw the bucket.
     """
 
     parts: int
@@ -91,31 +91,31 @@
 
 
 def split(quota: Quota, tolerance: QuotaTolerance, candidates: int) -> QuotaPart:
-    """Divide a quota into parts that use no more than is accepted, all together.
+    """Divide a quota into parts that together stay within the tolerance.
 
     Parameters
     ----------
     candidates : int
         Daemons that may keep parts.
     """
-    most = min(MOST_PARTS, max(1, candidates))
-    parts = max(1, min(most, int(quota.rate_per_s / PART_UNITS_PER_S[quota.unit])))
+    most = min(MAX_PARTS, max(1, candidates))
+    parts = max(1, min(most, int(quota.rate_per_s / MIN_PART_UNITS_PER_S[quota.unit])))
     margin = tolerance.margin(quota)
-    flow_per_s = quota.rate_per_s + FLOW_SHARE * margin / tolerance.window_s
-    at_once = BURST_SHARE * margin / parts
-    overdraft = min(OVERDRAFT_SHARE * at_once, LARGEST_CALL_UNITS[quota.unit])
-    return QuotaPart(parts, flow_per_s / parts, at_once - overdraft, overdraft)
+    flow_per_s = quota.rate_per_s + REFILL_SHARE * margin / tolerance.window_s
+    burst = BURST_SHARE * margin / parts
+    overdraft = min(MAX_OVERDRAFT_SHARE * burst, MAX_OVERDRAFT_UNITS[quota.unit])
+    return QuotaPart(parts, flow_per_s / parts, burst - overdraft, overdraft)
 
 
 def keepers(account: str, parts: int, candidates: dict[str, list[str]]) -> list[str]:
-    """Name the daemons that keep the parts of an account's quota.
+    """Return the daemons that keep the parts of an account's quota.
 
-    They stand in as many data centres as may be, so that the loss of one leaves some.
+    They are spread over the data centres, so that some survive the loss of one.
 
     Parameters
     ----------
     candidates : dict of str to list of str
-        By data centre, daemons that may keep parts.
+        Daemons that may keep parts, by data centre.
     """
     ranked: list[tuple[int, int, str]] = []
     for data_centre, names in candidates.items():
@@ -127,18 +127,18 @@
 
 @dataclass(slots=True, frozen=True)
 class QuotaGrant:
-    """What a keeper gives.
+    """Units that a keeper grants.
 
     Parameters
     ----------
     units : int
-        What the asker may use.
+        Units that the requesting daemon may use.
     wait_s : float
-        After how long more may be there; 0.0: all that was asked for was given.
+        Seconds until more may be available; 0.0: all requested units were granted.
     is_known : bool
-        Whether the keeper can tell what is left. One that has not heard of the account
-        yet, or whose lease may have lapsed, cannot: the account may be far below its
-        quota.
+        Whether the keeper knows what is left. A keeper that does not know the account
+        yet, or whose lease may have expired, does not: the account may be far below
+        its quota.
     """
 
     units: int
@@ -147,13 +147,13 @@
 
 
 class QuotaBucket:
-    """One part of an account's quota, at the daemon that keeps it.
+    """Token bucket for one part of an account's quota, at its keeper.
 
     Parameters
     ----------
     empty_s : float
-        When there was nothing in it. What the keeper before gave is not known, so a new
-        one begins with nothing, and later than it is one.
+        When the bucket is empty. A new keeper does not know what its predecessor has
+        granted, so it starts empty and some time after it became the keeper.
     """
 
     __slots__ = ("_filled_s", "_level")
@@ -165,21 +165,21 @@
     def give(
         self, part: QuotaPart, needed: int, others: int, ahead: int, now_s: float
     ) -> QuotaGrant:
-        """Give units to a daemon that asks.
+        """Grant units to a daemon that requests them.
 
         Parameters
         ----------
         part : QuotaPart
-            The terms in force now.
+            Rate, capacity and overdraft in force now.
         needed : int
-            Units of the first call that waits there: given whole or not at all.
+            Units of the first waiting request: granted in full or not at all.
         others : int
-            Units of the calls behind it.
+            Units of the requests behind it.
         ahead : int
-            Units for calls that are still to come; given while much is there.
+            Units to prefetch; granted only from the upper half of the bucket.
         """
         if now_s < self._filled_s:
-            # Still within the time of the keeper before.
+            # The previous keeper may still be granting units.
             return QuotaGrant(0, self._filled_s - now_s, is_known=False)
         self._fill(part, now_s)
         if needed and not self._covers(part, needed):
@@ -191,7 +191,7 @@
         return QuotaGrant(needed + more + surplus, wait_s)
 
     def _take(self, wanted: int, left: float) -> int:
-        """Take what is wanted, as far as so much is left."""
+        """Take up to the wanted units, leaving at least `left` in the bucket."""
         taken = min(wanted, max(0, int(self._level - left)))
         self._level -= taken
         return taken
@@ -199,7 +199,7 @@
     def _fill(self, part: QuotaPart, now_s: float) -> None:
         passed_s = now_s - self._filled_s
         self._filled_s = now_s
-        # Also cut where a new configuration lowers the limit.
+        # This also truncates the level if a new configuration lowers the capacity.
         filled = self._level + part.rate_per_s * passed_s
         self._level = min(max(part.most, 1.0), filled)
 
--- a/packages/core/src/knapweedbridge_core/serving/retry_budget.py
+++ b/packages/core/src/knapweedbridge_core/serving/retry_budget.py
@@ -1,24 +1,24 @@
-"""A bound on repeated sends that all daemons keep without talking to each other."""
+"""Retry budget that all daemons enforce without communicating."""
 
 from collections import defaultdict, deque
 from dataclasses import dataclass, field
 
-SHARE_USED = 0.85
-"""Share of the allowance that daemons use; the rest covers that their windows and
-the count of daemons are not the same everywhere."""
+ALLOWANCE_SHARE = 0.85
+"""Share of the allowance that daemons use. The rest covers differences between their
+windows and between the numbers of daemons that they know."""
 
-LISTED_S = 3.0
-"""Time after a daemon's start in which those that started with it are listed."""
+LISTING_DELAY_S = 3.0
+"""Time after a daemon's start until the daemons that started with it are listed."""
 
 
 @dataclass(slots=True)
 class ServiceWindow:
-    """Requests and repeats of one service in the last window.
+    """Requests and retries of one service in the last window.
 
     Parameters
     ----------
     granted : int
-        Repeats that were granted and not sent yet.
+        Retries that were granted but not sent yet.
     """
 
     requests: deque[float] = field(default_factory=deque)
@@ -26,7 +26,7 @@
     granted: int = 0
 
     def trim(self, before_s: float) -> None:
-        """Forget what is older than the window."""
+        """Remove the times that are older than the window."""
         for times in (self.requests, self.repeats):
             while times and times[0] < before_s:
                 times.popleft()
@@ -34,14 +34,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Allowance:
-    """What one daemon may repeat at a service, and has repeated, in a window.
+    """The retries of one daemon at a service in a window, and their limit.
 
     Parameters
     ----------
     requests, repeats : int
-        Callers' requests in the window, and the repeats that were sent or are to be.
+        Callers' requests in the window, and the retries that were sent or granted.
     allowed : float
-        Most repeats.
+        Largest number of retries.
     """
 
     requests: int
@@ -50,22 +50,22 @@
 
     @property
     def has_room(self) -> bool:
-        """Return whether one more repeat is allowed."""
+        """Whether one more retry is allowed."""
         return self.repeats + 1 <= self.allowed
 
 
 class RetryBudget:
-    """Bounds repeats by a share of requests, plus this daemon's part of a slack.
+    """Limits retries to a share of requests, plus this daemon's part of a slack.
 
-    In an outage each request fails and is sent again; the endpoints that are left
-    would get a multiple of the load and fail as well.
+    In an outage every request fails and is retried. Without a limit, the remaining
+    endpoints would receive a multiple of the load and fail as well.
 
     Parameters
     ----------
     ratio : float
-        Repeats allowed a request, over all daemons.
+        Retries allowed per request, over all daemons.
     slack : float
-        Repeats allowed besides in one window, over all daemons.
+        Additional retries allowed in one window, over all daemons.
     window_s : float
         Length of the window, in seconds.
     started_s : float or None
@@ -87,9 +87,10 @@
         self._started_s = started_s
 
     def record_daemons(self, daemons: int, now_s: float) -> None:
-        """Record how many daemons are listed, this one among them.
+        """Record the number of listed daemons, including this one.
 
-        The most of a window share the slack: records go missing with their leases.
+        The slack is divided by the maximum in the window, because records disappear
+        when leases expire.
         """
         known = self._daemons
         while known and known[0][0] < now_s - self.window_s:
@@ -100,7 +101,7 @@
 
     @property
     def daemons(self) -> int:
-        """Daemons that share the slack."""
+        """Number of daemons that share the slack."""
         return self._daemons[0][1] if self._daemons else 1
 
     def record_request(self, service: str, now_s: float) -> None:
@@ -108,36 +109,39 @@
         self._window(service, now_s).requests.append(now_s)
 
     def spend(self, service: str, now_s: float) -> bool:
-        """Take one repeat; False where the allowance is used up."""
+        """Reserve one retry; return False if the allowance is exhausted."""
         if not self.allowance(service, now_s).has_room:
             return False
         self._services[service].granted += 1
         return True
 
     def sent(self, service: str, now_s: float) -> None:
-        """Record that a repeat which was granted is sent: from now on it counts."""
+        """Record that a granted retry is sent; it counts in the window from now on."""
         window = self._window(service, now_s)
         window.granted -= 1
         window.repeats.append(now_s)
 
     def give_back(self, service: str) -> None:
-        """Record that a repeat which was granted is not sent."""
+        """Release a granted retry that is not sent."""
         self._services[service].granted -= 1
 
     def allowance(self, service: str, now_s: float) -> Allowance:
-        """Return what this daemon may repeat; see `spend`."""
+        """Return the allowance of this daemon; see `spend`."""
         window = self._window(service, now_s)
         requests = len(window.requests)
         repeats = len(window.repeats) + window.granted
-        slack = self._slack_known(now_s) * self.slack / max(1, self.daemons)
-        allowed = SHARE_USED * (self.ratio * requests + slack)
+        slack = self._usable_slack_share(now_s) * self.slack / max(1, self.daemons)
+        allowed = ALLOWANCE_SHARE * (self.ratio * requests + slack)
         return Allowance(requests, repeats, allowed)
 
-    def _slack_known(self, now_s: float) -> float:
-        """Return the share of the slack that may be used while others start too."""
+    def _usable_slack_share(self, now_s: float) -> float:
+        """Return the share of the slack that may be used.
+
+        It grows after a start, while other daemons that start too are not listed yet.
+        """
         if self._started_s is None:
             return 1.0
-        return min(1.0, (now_s - self._started_s) / LISTED_S)
+        return min(1.0, (now_s - self._started_s) / LISTING_DELAY_S)
 
     def _window(self, service: str, now_s: float) -> ServiceWindow:
         window = self._services[service]
--- a/packages/core/src/knapweedbridge_core/serving/suspect_parts.py
+++ b/packages/core/src/knapweedbridge_core/serving/suspect_parts.py
@@ -1,4 +1,4 @@
-"""Parts of prompts that something is held against, and what they were lost with."""
+"""Prompt parts suspected of crashing endpoints, and the losses behind the suspicion."""
 
 import math
 from collections.abc import Iterable
@@ -8,34 +8,34 @@
 from knapweedbridge_core.serving.prompt_parts import PART_PREFIX
 
 FIRST_REFUSAL_S = 60.0
-"""How long a part is refused at first; each later refusal lasts ten times as long."""
+"""Duration of the first refusal of a part; each later one lasts ten times as long."""
 
-LONGEST_LAPSE_S = 86_400.0
+MAX_REFUSAL_S = 86_400.0
 LOSSES_REFUSED = 2
 SEPARATOR = "."
 
 
 def refusal_key(parts: Iterable[str]) -> str:
-    """Return what the store knows the refusal of prompts with all some parts by."""
+    """Return the store's key of the refusal of prompts that contain all given parts."""
     return SEPARATOR.join((PART_PREFIX, *sorted(parts)))
 
 
 def refused_parts(mark: str) -> frozenset[str]:
-    """Return the parts that a refusal in the store is about; empty: a whole call."""
+    """Return the parts that a refusal in the store names; empty: a whole request."""
     kind, *parts = mark.split(SEPARATOR)
     return frozenset(parts) if kind == PART_PREFIX else frozenset()
 
 
 @dataclass(slots=True, frozen=True)
 class LostCall:
-    """A call that broke off with an endpoint before its answer had begun.
+    """A request that was lost with an endpoint before its response had started.
 
     Parameters
     ----------
     request : str
-        What the call as a whole is known by.
+        Digest of the whole request.
     parts : tuple of str
-        Marks of the shared parts of its prompt.
+        Digests of the shared parts of its prompt.
     """
 
     request: str
@@ -44,7 +44,7 @@
 
 @dataclass(slots=True)
 class PartLoss:
-    """A loss that a part was at: when, and with which requests."""
+    """A loss that a part was involved in: its time, and the requests with the part."""
 
     at_s: float
     requests: set[str] = field(default_factory=set)
@@ -52,16 +52,18 @@
 
 @dataclass(slots=True)
 class SuspectPart:
-    """What is held against one part.
+    """The evidence against one part.
 
     Parameters
     ----------
     companions : frozenset of str
-        Parts, itself included, that all requests had with which it was lost.
+        Parts, including itself, that all lost requests with it have in common.
+    losses : dict of str to PartLoss
+        Losses that it was involved in, by loss.
     refusals : int
-        How often it was refused until that lapsed.
+        Number of refusals that have expired.
     released_s : float
-        When the last refusal lapsed.
+        When the last refusal expired.
     """
 
     companions: frozenset[str]
@@ -76,12 +78,12 @@
         return max(times, default=self.released_s)
 
     @property
-    def lapses_s(self) -> float:
-        """When what is held against it lapses."""
-        lapse_s = FIRST_REFUSAL_S * LAPSE_GROWTH**self.refusals
-        return self.last_s + min(LONGEST_LAPSE_S, lapse_s)
+    def expires_s(self) -> float:
+        """When the evidence against it expires."""
+        refusal_s = FIRST_REFUSAL_S * LAPSE_GROWTH**self.refusals
+        return self.last_s + min(MAX_REFUSAL_S, refusal_s)
 
     @property
     def needed(self) -> int:
-        """Losses after which it is refused; one that was refused before has one."""
+        """Losses after which it is refused: one if it was refused before."""
         return 1 if self.refusals else LOSSES_REFUSED
