--- a/bench/soak_plants.py
+++ b/bench/soak_plants.py
@@ -15,7 +15,7 @@
         "",
     ),
     "counts no places": (
-        CORE + "engine_keeper.py",
+        CORE + "engine_controller.py",
         "if len(self.places) < self.limits.adapter_places:",
         "if True:",
     ),
