--- a/features/accounts/steps/keeper_steps.py
+++ b/features/accounts/steps/keeper_steps.py
@@ -55,7 +55,7 @@
 
     async def _send(self, daemon, message):
         peer = self._peers[daemon]
-        await peer.shares.heard(self.hub.identity.name, message)
+        await peer.shares.handle(self.hub.identity.name, message)
 
 
 @given(
--- a/features/crashes/steps/crash_steps.py
+++ b/features/crashes/steps/crash_steps.py
@@ -104,13 +104,13 @@
     if was == "was not started":
         await path.kill_daemon("host-2")
     if was == "heard no other host":
-        heard = CrashWatch.heard
+        handle = CrashWatch.handle
 
         async def hear_nothing(link, daemon, message):
             if link._hub.identity.name != "host-2":
-                await heard(link, daemon, message)
+                await handle(link, daemon, message)
 
-        CrashWatch.heard = hear_nothing
+        CrashWatch.handle = hear_nothing
         # A daemon that runs has its handlers already.
         await path.restart_daemon("host-2")
         await path.until_ready(2)
@@ -122,7 +122,7 @@
         await ask_all(context, path, hosts)
     finally:
         if was == "heard no other host":
-            CrashWatch.heard = heard
+            CrashWatch.handle = handle
 
 
 @when("a deadly look-up ends two endpoints, and all hosts start again")
--- a/features/plain/steps/counting_steps.py
+++ b/features/plain/steps/counting_steps.py
@@ -163,7 +163,7 @@
 
     async def take_older(sender, message):
         if isinstance(message, PermitResponse):
-            await daemon.link.permits.heard(sender, message)
+            await daemon.link.permits.handle(sender, message)
             return
         assert not is_of_plain(message), "its stream would end"
         await take(sender, message)
--- a/features/prompt_parts/steps/part_steps.py
+++ b/features/prompt_parts/steps/part_steps.py
@@ -118,11 +118,11 @@
 @when("two hosts meet a deadly part, and the third {was} then")
 @in_parts
 async def third_host(context, path, was):
-    hears = CrashWatch.heard
+    hears = CrashWatch.handle
     if was == "was not started":
         await path.kill_daemon("host-2")
     elif was.startswith("heard"):
-        CrashWatch.heard = hearing(was, hears)
+        CrashWatch.handle = hearing(was, hears)
         # A daemon that runs has its handlers already.
         await path.restart_daemon("host-2")
         await path.until_ready(2)
@@ -133,7 +133,7 @@
             await path.until_ready(2)
         await ask_all(context, path, context.traffic)
     finally:
-        CrashWatch.heard = hears
+        CrashWatch.handle = hears
 
 
 @when("hosts meet a deadly part, and all of them start again")
--- a/packages/daemon/src/knapweedbridge_daemon/serving/crash_watch.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/crash_watch.py
@@ -298,7 +298,7 @@
         if self._cleared or ledger.to_clear:
             self._hub.losses_changed.tell()
 
-    async def heard(self, daemon: str, message: OfLosses) -> None:
+    async def handle(self, daemon: str, message: OfLosses) -> None:
         """Receive what another daemon knows of losses."""
         now_s, crashes = loop_time_s(), self._hub.crashes
         match message:
--- a/packages/daemon/src/knapweedbridge_daemon/serving/engine_owners.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/engine_owners.py
@@ -116,7 +116,7 @@
             tasks.start_soon(owner.run)
             self._hub.log.info("owner.begun", engine=name, number=record.number)
 
-    async def heard(self, daemon: str, message: ToOwner) -> None:
+    async def handle(self, daemon: str, message: ToOwner) -> None:
         """Take a daemon's message about an engine that is owned here."""
         if isinstance(message, OwnershipClaimed):
             await self._give_up(daemon, message)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
@@ -87,14 +87,14 @@
             TurnGrant: self._take_turns,
             OwnerAck: self._take_answered,
         }
-        takers |= dict.fromkeys((QuotaRequest, QuotaResponse), self.shares.heard)
-        takers |= dict.fromkeys(get_args(OfLosses), self.crashes.heard)
+        takers |= dict.fromkeys((QuotaRequest, QuotaResponse), self.shares.handle)
+        takers |= dict.fromkeys(get_args(OfLosses), self.crashes.handle)
         of_calls = get_args(OfPlain) + get_args(OfPermits)
         takers |= dict.fromkeys(of_calls, self._take_of_calls)
-        takers |= dict.fromkeys(get_args(OfOrigins), self.resuming.heard)
+        takers |= dict.fromkeys(get_args(OfOrigins), self.resuming.handle)
         of_relay = StoreUpdate, StoreMark, RelayRequest
         takers |= dict.fromkeys(of_relay, self._take_of_relay)
-        return takers | dict.fromkeys(get_args(ToOwner), self.owners.heard)
+        return takers | dict.fromkeys(get_args(ToOwner), self.owners.handle)
 
     async def send(self, daemon: str, message: Any) -> None:
         """Send a message to a daemon, which may be this one.
@@ -224,9 +224,9 @@
 
     async def _take_of_calls(self, daemon: str, message: OfPlain | OfPermits) -> None:
         if is_of_plain(message):
-            await self.plain.heard(daemon, message)
+            await self.plain.handle(daemon, message)
         elif isinstance(message, OfPermits):
-            await self.permits.heard(daemon, message)
+            await self.permits.handle(daemon, message)
 
     async def _take_relayed(self, relay: str, message: StoreUpdate) -> None:
         """Take what a relay hands on of the engines."""
--- a/packages/daemon/src/knapweedbridge_daemon/serving/permits.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/permits.py
@@ -162,7 +162,7 @@
         if keeper is not None:
             await self._send(keeper, LimitReport(*self._limit_of(endpoint)))
 
-    async def heard(self, daemon: str, message: OfPermits) -> None:
+    async def handle(self, daemon: str, message: OfPermits) -> None:
         """Take a daemon's question or news, or a keeper's."""
         if isinstance(message, PermitResponse):
             self._take_answer(message)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/plain_counters.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/plain_counters.py
@@ -39,7 +39,7 @@
         self._send = send
         self._counters: dict[EndpointStart, PlainCounter] = {}
 
-    async def heard(self, daemon: str, message: OfPlain) -> None:
+    async def handle(self, daemon: str, message: OfPlain) -> None:
         """Take a daemon's greeting, question or word of what it runs."""
         if message == GREETING:
             await self._send(daemon, UNDERSTOOD)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/plain_counting.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/plain_counting.py
@@ -175,8 +175,8 @@
         told = PlainLoadReport(endpoint.name, start.started_ms, calls, ended, refused)
         await self._send(keeper, told)
 
-    async def heard(self, daemon: str, message: OfPlain) -> None:
+    async def handle(self, daemon: str, message: OfPlain) -> None:
         """Take a daemon's question or word, or an answer."""
         if self._asking.take(daemon, message):
             return
-        await self._counters.heard(daemon, message)
+        await self._counters.handle(daemon, message)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/quota_shares.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/quota_shares.py
@@ -157,7 +157,7 @@
             waiter.has_units = True
             waiter.done.set()
 
-    async def heard(self, daemon: str, message: QuotaRequest | QuotaResponse) -> None:
+    async def handle(self, daemon: str, message: QuotaRequest | QuotaResponse) -> None:
         """Take a daemon's question to a keeper, or a keeper's answer."""
         if isinstance(message, QuotaRequest):
             await self._asked(daemon, message)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/stream_resuming.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/stream_resuming.py
@@ -308,7 +308,7 @@
         for name in question.ask(others):
             await self._send(name, asked)
 
-    async def heard(self, daemon: str, message: OfOrigins) -> None:
+    async def handle(self, daemon: str, message: OfOrigins) -> None:
         """Receive a record, a question or an answer."""
         if isinstance(message, OriginsRecorded):
             self._keep(message)
--- a/packages/standins/src/knapweedbridge_standins/serving_histories/stream_origins.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_histories/stream_origins.py
@@ -333,7 +333,7 @@
         is_lost = not sender.is_alive and self.luck.random() < 0.3
         is_cut = self.are_cut(sender.host.name, taker.host.name)
         if taker.is_alive and not (is_lost or is_cut):
-            await taker.resuming.heard(sender.host.name, message)
+            await taker.resuming.handle(sender.host.name, message)
 
 
 class _Troubles:
