--- a/packages/daemon/src/knapweedbridge_daemon/serving/host.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/host.py
@@ -147,7 +147,7 @@
             link.crashes.endpoint_unlisted,
             link.relaying.store_changed,
         )
-        link.on_store_told = follower.heard
+        link.on_store_update = follower.heard
         lease = LeaseKeeper(hub, follower, link.owners.stop)
         app = CallersApp(hub, CallRunner(hub, link), link.shares)
         held = HeldMemory(hub)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
@@ -75,7 +75,7 @@
         self.resuming = StreamResuming(hub, self.send)
         self.crashes = CrashWatch(hub, self.send)
         self._relays_asked_s: dict[str, float] = {}
-        self.on_store_told: Callable[[str, StoreUpdate], int] = lambda *told: 0
+        self.on_store_update: Callable[[str, StoreUpdate], int] = lambda *told: 0
         self._peers: Peers | None = None
         self._takers = self._make_takers()
 
@@ -172,7 +172,7 @@
     ) -> None:
         """Take what a relay tells this daemon, or what a hearer asks of it."""
         if isinstance(message, StoreUpdate):
-            missed_after = self.on_store_told(daemon, message)
+            missed_after = self.on_store_update(daemon, message)
             if missed_after:
                 # A daemon that the store turns away has no other way to hear of it: it
                 # went on by an old configuration, beside a relay that had the new one.
--- a/packages/standins/src/knapweedbridge_standins/relay_pool/pool.py
+++ b/packages/standins/src/knapweedbridge_standins/relay_pool/pool.py
@@ -64,7 +64,7 @@
             self.link.crashes.endpoint_unlisted,
             self.link.relaying.store_changed,
         )
-        self.link.on_store_told = self.follower.heard
+        self.link.on_store_update = self.follower.heard
         wire.hear(record.name, self.link._take)
 
     @staticmethod
