--- a/packages/core/src/knapweedbridge_core/serving/__init__.py
+++ b/packages/core/src/knapweedbridge_core/serving/__init__.py
@@ -81,7 +81,7 @@
 from knapweedbridge_core.serving.permits import (
     PermitBucket,
     exclude_limited,
-    permit_keeper,
+    permit_coordinator,
 )
 from knapweedbridge_core.serving.placement import EnginePlacement, LeastCostPlacement
 from knapweedbridge_core.serving.placement_choices import (
@@ -242,7 +242,7 @@
     "nearest_first",
     "origin_keepers",
     "parse_model",
-    "permit_keeper",
+    "permit_coordinator",
     "ranked",
     "refusal_publishers",
     "refusal_key",
--- a/packages/core/src/knapweedbridge_core/serving/permits.py
+++ b/packages/core/src/knapweedbridge_core/serving/permits.py
@@ -94,7 +94,7 @@
         self._filled_s = now_s
 
 
-def permit_keeper(
+def permit_coordinator(
     endpoint: str, data_centre: str, candidates: dict[str, list[str]]
 ) -> str | None:
     """Return the daemon that grants an endpoint's permits; None if none is known.
--- a/packages/daemon/src/knapweedbridge_daemon/serving/permits.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/permits.py
@@ -11,7 +11,7 @@
     EndpointStart,
     PermitBucket,
     RejectionBudget,
-    permit_keeper,
+    permit_coordinator,
     understands,
 )
 from knapweedbridge_core.serving.permit_messages import (
@@ -140,7 +140,9 @@
 
     def _keeper(self, endpoint: Endpoint) -> str | None:
         candidates = self._hub.cluster.quota_keepers
-        return permit_keeper(endpoint.name, endpoint.record.data_centre, candidates)
+        return permit_coordinator(
+            endpoint.name, endpoint.record.data_centre, candidates
+        )
 
     @staticmethod
     def _limit_of(endpoint: Endpoint) -> tuple[str, int, float | None, float]:
--- a/packages/daemon/src/knapweedbridge_daemon/serving/plain_counters.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/plain_counters.py
@@ -6,7 +6,7 @@
     Endpoint,
     EndpointStart,
     PlainCounter,
-    permit_keeper,
+    permit_coordinator,
 )
 from knapweedbridge_core.serving.plain_messages import (
     PlainLoadReport,
@@ -20,7 +20,7 @@
 def counting_daemon(hub: Hub, endpoint: Endpoint) -> str | None:
     """Name the daemon that counts an endpoint's requests; None where none is known."""
     candidates = hub.cluster.quota_keepers
-    return permit_keeper(endpoint.name, endpoint.record.data_centre, candidates)
+    return permit_coordinator(endpoint.name, endpoint.record.data_centre, candidates)
 
 
 class PlainCounters:
