--- a/features/plain/steps/entry_steps.py
+++ b/features/plain/steps/entry_steps.py
@@ -9,10 +9,10 @@
 
 from knapweedbridge_core.codec import encode
 from knapweedbridge_core.serving import RetryBudget
-from knapweedbridge_daemon.serving.believing import StoreFollower
 from knapweedbridge_daemon.serving.dialects import OwnKeys
 from knapweedbridge_daemon.serving.hub import Hub, Identity
 from knapweedbridge_daemon.serving.measures import Measures
+from knapweedbridge_daemon.serving.store_follower import StoreFollower
 from knapweedbridge_daemon.store import StoreItem
 from knapweedbridge_platform.items import PlatformItems
 from knapweedbridge_standins.virtual_loop import run_virtually
--- a/features/serving/steps/pool_size_steps.py
+++ b/features/serving/steps/pool_size_steps.py
@@ -9,7 +9,7 @@
     DaemonNamed,
     EndpointNamed,
 )
-from knapweedbridge_daemon.serving.believing import StoreFollower
+from knapweedbridge_daemon.serving.store_follower import StoreFollower
 from knapweedbridge_daemon.store import StoreItems
 
 NOW_S = 1000.0
--- a/features/serving/steps/relay_steps.py
+++ b/features/serving/steps/relay_steps.py
@@ -21,8 +21,8 @@
     RelayRequest,
     StoreUpdate,
 )
-from knapweedbridge_daemon.serving.believing import StoreFollower
 from knapweedbridge_daemon.serving.relaying import Relaying
+from knapweedbridge_daemon.serving.store_follower import StoreFollower
 from knapweedbridge_daemon.serving.store_telling import (
     pack_items,
     unpack_engines,
--- a/features/serving/steps/restart_steps.py
+++ b/features/serving/steps/restart_steps.py
@@ -27,10 +27,10 @@
     OwnerNamed,
 )
 from knapweedbridge_core.serving.messages import EngineTold
-from knapweedbridge_daemon.serving.believing import StoreFollower
 from knapweedbridge_daemon.serving.dialects import DialectError, OwnKeys
 from knapweedbridge_daemon.serving.measures import Measures
 from knapweedbridge_daemon.serving.own_records import read_own
+from knapweedbridge_daemon.serving.store_follower import StoreFollower
 from knapweedbridge_daemon.store import StoreItem
 from knapweedbridge_platform.items import PlatformItems
 from knapweedbridge_platform.servers import read_server
--- a/features/serving/steps/store_steps.py
+++ b/features/serving/steps/store_steps.py
@@ -6,7 +6,7 @@
 from knapweedbridge_core.codec import encode
 from knapweedbridge_core.serving import StoreAge
 from knapweedbridge_core.serving.messages import StoreUpdate
-from knapweedbridge_daemon.serving.believing import StoreFollower
+from knapweedbridge_daemon.serving.store_follower import StoreFollower
 from knapweedbridge_daemon.serving.store_telling import pack_items, unpack_items
 from knapweedbridge_daemon.store import StoreItem
 
--- a/packages/daemon/src/knapweedbridge_daemon/serving/host.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/host.py
@@ -18,7 +18,6 @@
     RetryBudget,
     StoreOutage,
 )
-from knapweedbridge_daemon.serving.believing import StoreFollower
 from knapweedbridge_daemon.serving.callers_app import CallersApp
 from knapweedbridge_daemon.serving.calls import CallRunner
 from knapweedbridge_daemon.serving.decision_log import DecisionLog
@@ -36,6 +35,7 @@
 from knapweedbridge_daemon.serving.settings import ServingSettings
 from knapweedbridge_daemon.serving.side_faces import SideFaces
 from knapweedbridge_daemon.serving.software_records import SoftwareRecords
+from knapweedbridge_daemon.serving.store_follower import StoreFollower
 from knapweedbridge_daemon.serving.store_marks import StoreMarks
 from knapweedbridge_daemon.serving.sweeping import EndpointSweep
 from knapweedbridge_daemon.serving.tunnels import Tunnels
--- a/packages/daemon/src/knapweedbridge_daemon/serving/lease_keeping.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/lease_keeping.py
@@ -14,7 +14,6 @@
     may_claim,
 )
 from knapweedbridge_daemon.errors import StoreError
-from knapweedbridge_daemon.serving.believing import StoreFollower
 from knapweedbridge_daemon.serving.engine_owning import ORDER_TIMEOUT_S
 from knapweedbridge_daemon.serving.hub import Hub, suspended_clock_s
 from knapweedbridge_daemon.serving.lost_links import (
@@ -27,6 +26,7 @@
     pack_owner,
     pack_protocol,
 )
+from knapweedbridge_daemon.serving.store_follower import StoreFollower
 from knapweedbridge_daemon.store import LeaseGoneError, Transaction
 
 RENEWALS_A_LEASE = 3
