--- a/packages/core/src/knapweedbridge_core/serving/cluster_state.py
+++ b/packages/core/src/knapweedbridge_core/serving/cluster_state.py
@@ -19,7 +19,7 @@
     LARGE_LISTED_S,
     STARTING_S,
     is_small,
-    quota_keepers,
+    quota_coordinators,
     ranked,
     relays,
 )
@@ -120,14 +120,14 @@
         return self._relays
 
     @property
-    def quota_keepers(self) -> dict[str, list[str]]:
+    def quota_coordinators(self) -> dict[str, list[str]]:
         """The daemons that may keep parts of quotas, by data centre."""
-        return quota_keepers(self._rank())
+        return quota_coordinators(self._rank())
 
     @property
     def keepers(self) -> dict[str, list[str]]:
         """The daemons that may keep state of calls for others, by data centre."""
-        return self.ranks if self.is_small_pool else self.quota_keepers
+        return self.ranks if self.is_small_pool else self.quota_coordinators
 
     @property
     def ranks(self) -> dict[str, list[str]]:
--- a/packages/core/src/knapweedbridge_core/serving/pool.py
+++ b/packages/core/src/knapweedbridge_core/serving/pool.py
@@ -67,7 +67,7 @@
     return {data_centre: names[:RELAYS] for data_centre, names in ranks.items()}
 
 
-def quota_keepers(ranks: dict[str, list[str]]) -> dict[str, list[str]]:
+def quota_coordinators(ranks: dict[str, list[str]]) -> dict[str, list[str]]:
     """Return the daemons that may keep parts of quotas, by data centre.
 
     Relays already have the most work; they are included only if there are no others.
--- a/packages/daemon/src/knapweedbridge_daemon/serving/permits.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/permits.py
@@ -139,7 +139,7 @@
         return question.wait_s
 
     def _keeper(self, endpoint: Endpoint) -> str | None:
-        candidates = self._hub.cluster.quota_keepers
+        candidates = self._hub.cluster.quota_coordinators
         return permit_coordinator(
             endpoint.name, endpoint.record.data_centre, candidates
         )
--- a/packages/daemon/src/knapweedbridge_daemon/serving/plain_counters.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/plain_counters.py
@@ -19,7 +19,7 @@
 
 def counting_daemon(hub: Hub, endpoint: Endpoint) -> str | None:
     """Name the daemon that counts an endpoint's requests; None where none is known."""
-    candidates = hub.cluster.quota_keepers
+    candidates = hub.cluster.quota_coordinators
     return permit_coordinator(endpoint.name, endpoint.record.data_centre, candidates)
 
 
--- a/packages/daemon/src/knapweedbridge_daemon/serving/quota_parts.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/quota_parts.py
@@ -79,7 +79,7 @@
 
     def _split(self, account: str, quota: Quota) -> SplitQuota:
         cluster, identity = self._hub.cluster, self._hub.identity
-        candidates = cluster.quota_keepers
+        candidates = cluster.quota_coordinators
         part = split(quota, self._hub.tolerance, sum(map(len, candidates.values())))
         found = keepers(account, part.parts, candidates)
         places = {name: cluster.daemons[name].data_centre for name in found}
--- a/packages/standins/src/knapweedbridge_standins/quota_pool/ways.py
+++ b/packages/standins/src/knapweedbridge_standins/quota_pool/ways.py
@@ -15,7 +15,7 @@
     ranked,
     split,
 )
-from knapweedbridge_core.serving.pool import quota_keepers
+from knapweedbridge_core.serving.pool import quota_coordinators
 from knapweedbridge_core.serving.quotas import TAKE_OVER_S
 from knapweedbridge_standins.quota_pool.hosts import Host
 
@@ -55,7 +55,7 @@
         self._by_name = {host.name: host for host in hosts}
         self._places = {host.name: host.data_centre for host in hosts}
         records = [DaemonRecord(h.name, 1, "", h.data_centre) for h in hosts]
-        self._candidates = quota_keepers(ranked(records))
+        self._candidates = quota_coordinators(ranked(records))
         self._buckets: dict[tuple[str, float], QuotaBucket] = {}
         self._purses: dict[tuple[str, float], QuotaBalance] = {}
 
