--- a/features/serving/steps/relay_steps.py
+++ b/features/serving/steps/relay_steps.py
@@ -21,13 +21,13 @@
     RelayRequest,
     StoreUpdate,
 )
-from knapweedbridge_daemon.serving.relaying import Relaying
 from knapweedbridge_daemon.serving.store_follower import StoreFollower
 from knapweedbridge_daemon.serving.store_telling import (
     pack_items,
     unpack_engines,
     unpack_items,
 )
+from knapweedbridge_daemon.serving.update_relay import Relaying
 from knapweedbridge_daemon.store import StoreItem, StoreItems
 
 NOW_S = 1000.0
--- a/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
@@ -31,11 +31,11 @@
 from knapweedbridge_daemon.serving.plain_counting import PlainCounts
 from knapweedbridge_daemon.serving.plain_greeting import OfPlain, is_of_plain
 from knapweedbridge_daemon.serving.quota_shares import QuotaShares
-from knapweedbridge_daemon.serving.relaying import Relaying
 from knapweedbridge_daemon.serving.running_calls import RunningCalls
 from knapweedbridge_daemon.serving.store_telling import unpack_engines
 from knapweedbridge_daemon.serving.stream_resuming import OfOrigins, StreamResuming
 from knapweedbridge_daemon.serving.turns import Turns
+from knapweedbridge_daemon.serving.update_relay import Relaying
 
 SILENCE_S = 1.5
 """Silence that closes a stream between daemons: answers take milliseconds."""
--- a/packages/daemon/src/knapweedbridge_daemon/serving/permits.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/permits.py
@@ -27,7 +27,7 @@
     UNLEASED_SHARE,
 )
 from knapweedbridge_daemon.serving.hub import Hub, Send, suspended_clock_s
-from knapweedbridge_daemon.serving.relaying import Relaying
+from knapweedbridge_daemon.serving.update_relay import Relaying
 
 ANSWER_S = 0.05
 """How long a keeper's answer is awaited: ways take milliseconds."""
--- a/packages/standins/src/knapweedbridge_standins/serving_load/relay.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_load/relay.py
@@ -4,7 +4,7 @@
 from typing import TYPE_CHECKING
 
 from knapweedbridge_core.serving.messages import EngineChanged, EngineTold
-from knapweedbridge_daemon.serving.relaying import RELAY_S
+from knapweedbridge_daemon.serving.update_relay import RELAY_S
 from knapweedbridge_standins.serving_load.call import WAY_S
 
 if TYPE_CHECKING:
