--- a/packages/core/src/knapweedbridge_core/serving/quota_balance.py
+++ b/packages/core/src/knapweedbridge_core/serving/quota_balance.py
@@ -109,7 +109,7 @@
         self._skipped_until_s[keeper] = now_s + SILENT_KEEPER_S
         self._silent_keepers.add(keeper)
 
-    def next_keeper(self, keepers: list[str], now_s: float) -> str | None:
+    def next_coordinator(self, keepers: list[str], now_s: float) -> str | None:
         """Return the keeper to ask next, or None while none has units to grant."""
         self._skipped_until_s = {
             name: until_s
--- a/packages/daemon/src/knapweedbridge_daemon/serving/quota_shares.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/quota_shares.py
@@ -126,7 +126,7 @@
             purse.held.unanswered(purse.asked, now_s)
             self._hub.measures.count("quota", "unanswered")
         able = self.parts.keepers(account)
-        keeper = purse.held.next_keeper(able, now_s)
+        keeper = purse.held.next_coordinator(able, now_s)
         purse.asked = keeper or ""
         if keeper is None:
             if not purse.held.has_silent_keeper(able):
--- a/packages/standins/src/knapweedbridge_standins/quota_pool/ways.py
+++ b/packages/standins/src/knapweedbridge_standins/quota_pool/ways.py
@@ -80,7 +80,7 @@
         part = self._part()
         names = keepers(self.account, part.parts, self._candidates)
         names = nearest_first(host.name, host.data_centre, names, self._places)
-        name = purse.next_keeper(names, now_s)
+        name = purse.next_coordinator(names, now_s)
         if name is None:
             return False
         self.messages += 2
