--- a/features/serving/steps/relay_steps.py
+++ b/features/serving/steps/relay_steps.py
@@ -27,7 +27,7 @@
     unpack_engines,
     unpack_items,
 )
-from knapweedbridge_daemon.serving.update_relay import Relaying
+from knapweedbridge_daemon.serving.update_relay import UpdateRelay
 from knapweedbridge_daemon.store import StoreItem, StoreItems
 
 NOW_S = 1000.0
@@ -92,7 +92,7 @@
     async def send(daemon, message):
         context.sent.setdefault(daemon, []).append(message)
 
-    context.relaying = Relaying(hub_of(context.cluster, context.relay), send)
+    context.relaying = UpdateRelay(hub_of(context.cluster, context.relay), send)
 
 
 async def tell(context, now_s, clear=True):
--- a/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
@@ -35,7 +35,7 @@
 from knapweedbridge_daemon.serving.store_telling import unpack_engines
 from knapweedbridge_daemon.serving.stream_resuming import OfOrigins, StreamResuming
 from knapweedbridge_daemon.serving.turns import Turns
-from knapweedbridge_daemon.serving.update_relay import Relaying
+from knapweedbridge_daemon.serving.update_relay import UpdateRelay
 
 SILENCE_S = 1.5
 """Silence that closes a stream between daemons: answers take milliseconds."""
@@ -65,7 +65,7 @@
         self._hub = hub
         self.running = RunningCalls(hub, self.send)
         self.turns = Turns(hub, self.send, self.running.note_sent)
-        self.relaying = Relaying(hub, self.send)
+        self.relaying = UpdateRelay(hub, self.send)
         self.permits = Permits(hub, self.send, self.relaying)
         self.plain = PlainCounts(hub, self.send)
         self.signs = AnswerSigns(hub, self.permits)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/permits.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/permits.py
@@ -27,7 +27,7 @@
     UNLEASED_SHARE,
 )
 from knapweedbridge_daemon.serving.hub import Hub, Send, suspended_clock_s
-from knapweedbridge_daemon.serving.update_relay import Relaying
+from knapweedbridge_daemon.serving.update_relay import UpdateRelay
 
 ANSWER_S = 0.05
 """How long a keeper's answer is awaited: ways take milliseconds."""
@@ -66,7 +66,7 @@
         Knows whom a relay hands news on to.
     """
 
-    def __init__(self, hub: Hub, send: Send, relaying: Relaying) -> None:
+    def __init__(self, hub: Hub, send: Send, relaying: UpdateRelay) -> None:
         self._hub = hub
         self._send = send
         self._relaying = relaying
--- a/packages/daemon/src/knapweedbridge_daemon/serving/update_relay.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/update_relay.py
@@ -45,7 +45,7 @@
 still silent, or proves nothing, does so again."""
 
 
-class Relaying:
+class UpdateRelay:
     """The task of a relay, which idles in a daemon that is none.
 
     Parameters
