--- a/bench/engine_choice.py
+++ b/bench/engine_choice.py
@@ -17,7 +17,7 @@
     LateAdmission,
     LeastCostPlacement,
     ModelRef,
-    PlacementAsk,
+    PlacementRequest,
     may_claim,
 )
 
@@ -61,7 +61,7 @@
         model = ModelRef("m", f"a{int(ADAPTERS * luck.random() ** 3)}")
         reachable = fleet.reachable("llm", now_s)
         fleet.estimate_load(reachable, daemons, False, now_s)
-        ask = PlacementAsk(model, None, "d1", frozenset(), 900, OBJECTIVE_S)
+        ask = PlacementRequest(model, None, "d1", frozenset(), 900, OBJECTIVE_S)
         admission.choose(ask, reachable, OBJECTIVE_S, True, now_s)
     return (time.perf_counter() - began_s) / CALLS * 1000
 
--- a/features/serving/steps/decision_steps.py
+++ b/features/serving/steps/decision_steps.py
@@ -14,7 +14,7 @@
     NamedVersions,
     NoEngine,
     OrderAnswer,
-    PlacementAsk,
+    PlacementRequest,
     RetryBudget,
     SendTo,
     ServableVersions,
@@ -175,7 +175,7 @@
 
 
 def place(context, model, versions=None, patience_s=math.inf):
-    ask = PlacementAsk(parse_model(model), versions, "d1", patience_s=patience_s)
+    ask = PlacementRequest(parse_model(model), versions, "d1", patience_s=patience_s)
     engines_now = context.fleet.reachable("llm", NOW_S)
     context.choice = LeastCostPlacement().choose(ask, engines_now, NOW_S)
     return context.choice
@@ -491,7 +491,7 @@
 
 
 def placed(context, tokens):
-    ask = PlacementAsk(parse_model("m"), None, "d1", prompt_tokens=tokens)
+    ask = PlacementRequest(parse_model("m"), None, "d1", prompt_tokens=tokens)
     engines = context.fleet.of_service("llm", NOW_S)
     return LeastCostPlacement().choose(ask, engines, NOW_S)
 
--- a/features/speeds/steps/using_steps.py
+++ b/features/speeds/steps/using_steps.py
@@ -8,7 +8,7 @@
     LearnedRates,
     LeastCostPlacement,
     ModelRef,
-    PlacementAsk,
+    PlacementRequest,
 )
 from knapweedbridge_core.serving.messages import EngineChanged, EngineTold
 from knapweedbridge_daemon.serving.settings import read_serving_settings
@@ -173,7 +173,7 @@
     if others == "about to read 4000 tokens":
         for each in context.engines[:2]:
             each.others_unread_tokens = 4000
-    ask = PlacementAsk(ModelRef("m"), None, "d1", frozenset(), tokens, 2.0)
+    ask = PlacementRequest(ModelRef("m"), None, "d1", frozenset(), tokens, 2.0)
     placement = LeastCostPlacement(context.rates)
     context.choice = placement.choose(ask, context.engines, context.now_s)
 
--- a/packages/core/src/knapweedbridge_core/serving/__init__.py
+++ b/packages/core/src/knapweedbridge_core/serving/__init__.py
@@ -87,7 +87,7 @@
 from knapweedbridge_core.serving.placement_choices import (
     LoadOn,
     NoEngine,
-    PlacementAsk,
+    PlacementRequest,
     SendTo,
     TooLate,
     WaitFor,
@@ -190,7 +190,7 @@
     "QuotaBucket",
     "PermitBucket",
     "PartLedger",
-    "PlacementAsk",
+    "PlacementRequest",
     "PlainAsk",
     "PlainCounter",
     "PlainState",
--- a/packages/core/src/knapweedbridge_core/serving/late_admission.py
+++ b/packages/core/src/knapweedbridge_core/serving/late_admission.py
@@ -8,7 +8,11 @@
 
 from knapweedbridge_core.serving.endpoint import Endpoint
 from knapweedbridge_core.serving.placement import EnginePlacement
-from knapweedbridge_core.serving.placement_choices import Choice, PlacementAsk, TooLate
+from knapweedbridge_core.serving.placement_choices import (
+    Choice,
+    PlacementRequest,
+    TooLate,
+)
 
 MAX_DELAY_OBJECTIVES = 1.0
 """Accepted delay beyond the objective, in objectives, while no request is late. A
@@ -47,7 +51,7 @@
 
     def choose(
         self,
-        ask: PlacementAsk,
+        ask: PlacementRequest,
         engines: list[Endpoint],
         objective_s: float,
         is_new: bool,
--- a/packages/core/src/knapweedbridge_core/serving/pause_cost.py
+++ b/packages/core/src/knapweedbridge_core/serving/pause_cost.py
@@ -10,7 +10,7 @@
 
 from knapweedbridge_core.serving.endpoint import Endpoint
 from knapweedbridge_core.serving.engine_rates import EngineRates
-from knapweedbridge_core.serving.placement_choices import PlacementAsk
+from knapweedbridge_core.serving.placement_choices import PlacementRequest
 
 LATE_COST_S = 0.3
 """Cost of a late answer: half the shortest objective of the users' workloads."""
@@ -20,12 +20,14 @@
 period, which takes 2.5 times as long, it is just as long as is accepted."""
 
 
-def pause_cost_s(endpoint: Endpoint, ask: PlacementAsk, rates: EngineRates) -> float:
+def pause_cost_s(
+    endpoint: Endpoint, ask: PlacementRequest, rates: EngineRates
+) -> float:
     """Return the cost of the pauses on an engine, in seconds.
 
     Parameters
     ----------
-    ask : PlacementAsk
+    ask : PlacementRequest
         The call that would go there: its prompt pauses the streams that run there,
         and the prompts that are read beside it pause its own.
     """
--- a/packages/core/src/knapweedbridge_core/serving/placement.py
+++ b/packages/core/src/knapweedbridge_core/serving/placement.py
@@ -24,7 +24,7 @@
     Choice,
     LoadOn,
     NoEngine,
-    PlacementAsk,
+    PlacementRequest,
     SendTo,
     TooLate,
     WaitFor,
@@ -116,7 +116,7 @@
 
     @abstractmethod
     def choose(
-        self, ask: PlacementAsk, engines: list[Endpoint], now_s: float
+        self, ask: PlacementRequest, engines: list[Endpoint], now_s: float
     ) -> Choice:
         """Choose among engines that accept new work."""
 
@@ -139,7 +139,7 @@
         self._times = times or LoadTimes()
 
     def choose(
-        self, ask: PlacementAsk, engines: list[Endpoint], now_s: float
+        self, ask: PlacementRequest, engines: list[Endpoint], now_s: float
     ) -> Choice:
         """See `EnginePlacement.choose`."""
         untried = engines
@@ -183,7 +183,11 @@
         return choice
 
     def _place_on_holder(
-        self, ask: PlacementAsk, best: _Candidate, loaders: list[Endpoint], now_s: float
+        self,
+        ask: PlacementRequest,
+        best: _Candidate,
+        loaders: list[Endpoint],
+        now_s: float,
     ) -> SendTo | WaitFor:
         endpoint = best.endpoint
         held = endpoint.held.get(ask.model)
@@ -201,7 +205,7 @@
 
     def _older_version(
         self,
-        ask: PlacementAsk,
+        ask: PlacementRequest,
         engines: list[Endpoint],
         loaders: list[_Candidate],
         now_s: float,
@@ -221,7 +225,7 @@
         return SendTo(best, best.held[ask.model].version or None, copy_to)
 
     def _may_serve_older(
-        self, endpoint: Endpoint, ask: PlacementAsk, now_s: float
+        self, endpoint: Endpoint, ask: PlacementRequest, now_s: float
     ) -> bool:
         held = endpoint.held.get(ask.model)
         if held is None or held.ready_s > now_s or ask.versions is None:
@@ -241,18 +245,20 @@
         reading_s = UNREAD_TOKEN_COST_S * endpoint.unread_tokens + _batch_s(endpoint)
         return reading_s + self.rates.slot_wait_s(endpoint)
 
-    def _cost_s(self, endpoint: Endpoint, ask: PlacementAsk, now_s: float) -> float:
+    def _cost_s(self, endpoint: Endpoint, ask: PlacementRequest, now_s: float) -> float:
         first_s = self.rates.first_event_s(endpoint, ask.prompt_tokens, now_s)
         return first_s + self._penalty_s(endpoint, ask, now_s)
 
-    def _penalty_s(self, endpoint: Endpoint, ask: PlacementAsk, now_s: float) -> float:
+    def _penalty_s(
+        self, endpoint: Endpoint, ask: PlacementRequest, now_s: float
+    ) -> float:
         remote = endpoint.record.data_centre != ask.data_centre
         failing_s = FAILING_COST_S * endpoint.failing_share(now_s)
         busy_s = UNREAD_TOKEN_COST_S * endpoint.unread_tokens + _batch_s(endpoint)
         late_s = self._late_s(endpoint, ask) + pause_cost_s(endpoint, ask, self.rates)
         return REMOTE_COST_S * remote + busy_s + failing_s + late_s
 
-    def _late_s(self, endpoint: Endpoint, ask: PlacementAsk) -> float:
+    def _late_s(self, endpoint: Endpoint, ask: PlacementRequest) -> float:
         """Return the cost of streams that long prompts delay, in seconds.
 
         A long prompt pauses all streams of its engine and delays each of them by as
@@ -266,7 +272,7 @@
         return LATE_COST_S * -math.expm1(-endpoint.long_prompts_per_s * hold_s)
 
     def _holder_candidate(
-        self, endpoint: Endpoint, ask: PlacementAsk, now_s: float
+        self, endpoint: Endpoint, ask: PlacementRequest, now_s: float
     ) -> _Candidate:
         held = endpoint.held.get(ask.model)
         wait_s = max(0.0, held.ready_s - now_s) if held else 0.0
@@ -277,7 +283,7 @@
     def _loader_candidate(
         self,
         endpoint: Endpoint,
-        ask: PlacementAsk,
+        ask: PlacementRequest,
         now_s: float,
         cold_s: float,
         rank: int,
@@ -296,7 +302,7 @@
         return _Candidate(endpoint, load_s + first_s, penalty_s, load_s)
 
 
-def _holds(endpoint: Endpoint, ask: PlacementAsk) -> bool:
+def _holds(endpoint: Endpoint, ask: PlacementRequest) -> bool:
     if not ask.model.adapter:
         return True
     held = endpoint.held.get(ask.model)
@@ -310,7 +316,10 @@
 
 
 def _ranked_loaders(
-    ask: PlacementAsk, engines: list[Endpoint], holders: list[Endpoint], now_s: float
+    ask: PlacementRequest,
+    engines: list[Endpoint],
+    holders: list[Endpoint],
+    now_s: float,
 ) -> list[Endpoint]:
     """Return the first engines that can load the adapter, in its own ranking."""
     # Ranks all engines, so that the cache entry doesn't depend on who holds it.
--- a/packages/core/src/knapweedbridge_core/serving/placement_choices.py
+++ b/packages/core/src/knapweedbridge_core/serving/placement_choices.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class PlacementAsk:
+class PlacementRequest:
     """Requirements of one call for its engine.
 
     Parameters
--- a/packages/daemon/src/knapweedbridge_daemon/serving/placing.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/placing.py
@@ -13,7 +13,7 @@
     ModelRef,
     NoEngine,
     PendingRequest,
-    PlacementAsk,
+    PlacementRequest,
     PlainAsk,
     Reject,
     SendTo,
@@ -220,7 +220,7 @@
         self, call: Call, model: ModelRef, case: PendingRequest, now_s: float
     ) -> Choice:
         cluster, policy = self._hub.cluster, self._hub.overload
-        ask = PlacementAsk(
+        ask = PlacementRequest(
             model,
             self._versions_now(model),
             self._hub.identity.data_centre,
--- a/packages/standins/src/knapweedbridge_standins/serving_histories/versions.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_histories/versions.py
@@ -12,7 +12,7 @@
     LeastCostPlacement,
     LoadOn,
     ModelRef,
-    PlacementAsk,
+    PlacementRequest,
     SendTo,
     WaitFor,
 )
@@ -149,7 +149,7 @@
 
     def _call(self, daemon: _Daemon) -> None:
         versions = daemon.cluster.servable_versions(MODEL, self._now_s)
-        ask = PlacementAsk(MODEL, versions, "d")
+        ask = PlacementRequest(MODEL, versions, "d")
         engines = self._fleet().reachable("s", self._now_s)
         self._luck.shuffle(engines)
         choice = self._placement.choose(ask, engines, self._now_s)
--- a/packages/standins/src/knapweedbridge_standins/serving_load/baselines.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_load/baselines.py
@@ -6,14 +6,14 @@
     EnginePlacement,
     LoadOn,
     NoEngine,
-    PlacementAsk,
+    PlacementRequest,
     SendTo,
     WaitFor,
 )
 from knapweedbridge_core.serving.placement_choices import Choice
 
 
-def _to(ask: PlacementAsk, endpoint: Endpoint, now_s: float) -> Choice:
+def _to(ask: PlacementRequest, endpoint: Endpoint, now_s: float) -> Choice:
     held = endpoint.held.get(ask.model)
     if not ask.model.adapter:
         return SendTo(endpoint, None)
@@ -28,7 +28,7 @@
     """Sends all calls of an adapter to the engine that hashing names."""
 
     def choose(
-        self, ask: PlacementAsk, engines: list[Endpoint], now_s: float
+        self, ask: PlacementRequest, engines: list[Endpoint], now_s: float
     ) -> Choice:
         """See `EnginePlacement.choose`."""
         if not engines:
@@ -41,7 +41,7 @@
     """Sends a call where fewest run, and loads the adapter there."""
 
     def choose(
-        self, ask: PlacementAsk, engines: list[Endpoint], now_s: float
+        self, ask: PlacementRequest, engines: list[Endpoint], now_s: float
     ) -> Choice:
         """See `EnginePlacement.choose`."""
         if not engines:
--- a/packages/standins/src/knapweedbridge_standins/serving_load/daemon.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_load/daemon.py
@@ -11,7 +11,7 @@
     LoadTimes,
     ModelRef,
     NoEngine,
-    PlacementAsk,
+    PlacementRequest,
     SendTo,
     TooLate,
     WaitFor,
@@ -147,7 +147,7 @@
     def _choose(self, call: LoadCall, now_s: float) -> Choice:
         route = self.pool.routes[call.mix.name]
         waited_s = now_s - call.began_s
-        ask = PlacementAsk(
+        ask = PlacementRequest(
             call.model,
             None,
             self.data_centre,
--- a/packages/standins/src/knapweedbridge_standins/serving_load/overload_pool.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_load/overload_pool.py
@@ -11,7 +11,7 @@
     NoEngine,
     OverloadPolicy,
     PendingRequest,
-    PlacementAsk,
+    PlacementRequest,
     Reject,
     SendTo,
     UsualDeadlines,
@@ -238,7 +238,7 @@
     def _choose(self, call: OverloadCall, now_s: float) -> Choice:  # type: ignore[override]
         case = self._case(call)
         overdue = self.policy.is_overdue(case, now_s)
-        ask = PlacementAsk(
+        ask = PlacementRequest(
             call.model,
             None,
             self.data_centre,
