--- a/packages/core/src/knapweedbridge_core/bridge.py
+++ b/packages/core/src/knapweedbridge_core/bridge.py
@@ -5,7 +5,7 @@
 from knapweedbridge_core.actions import Action
 from knapweedbridge_core.blame import Blame
 from knapweedbridge_core.blame_side import BlameSide
-from knapweedbridge_core.claim_keeper import ClaimKeeper
+from knapweedbridge_core.claim_coordinator import ClaimKeeper
 from knapweedbridge_core.claimant_side import ClaimantSide
 from knapweedbridge_core.configuration import Configuration
 from knapweedbridge_core.configuration_side import ConfigurationSide
