--- a/packages/core/src/knapweedbridge_core/serving/quota_balance.py
+++ b/packages/core/src/knapweedbridge_core/serving/quota_balance.py
@@ -119,7 +119,7 @@
         able = (name for name in keepers if name not in self._skipped_until_s)
         return next(able, None)
 
-    def has_silent_keeper(self, keepers: list[str]) -> bool:
+    def has_silent_coordinator(self, keepers: list[str]) -> bool:
         """Return whether a keeper that may have units does not reply."""
         return not self._silent_keepers.isdisjoint(keepers)
 
--- a/packages/daemon/src/knapweedbridge_daemon/serving/quota_shares.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/quota_shares.py
@@ -103,17 +103,21 @@
         return None if waiter.has_units else self._refusal(account, purse, units)
 
     def _refusal(self, account: str, purse: Purse, units: int) -> Refusal:
-        has_silent_keeper = purse.held.has_silent_keeper(self.parts.keepers(account))
+        has_silent_coordinator = purse.held.has_silent_coordinator(
+            self.parts.keepers(account)
+        )
         wait_s = purse.held.wait_s(anyio.current_time())
-        self._hub.measures.count("quota", "silent" if has_silent_keeper else "refused")
+        self._hub.measures.count(
+            "quota", "silent" if has_silent_coordinator else "refused"
+        )
         self._hub.log.info(
             "quota.refused",
             account=account,
             units=units,
-            unsure=has_silent_keeper,
+            unsure=has_silent_coordinator,
             wait_s=round(wait_s, 3),
         )
-        if has_silent_keeper:
+        if has_silent_coordinator:
             return Refusal(503, "quota_unknown", SILENT_AFTER_S)
         return Refusal(429, "over_quota", wait_s + random.uniform(*OVER_QUOTA_AFTER_S))
 
@@ -129,7 +133,7 @@
         keeper = purse.held.next_coordinator(able, now_s)
         purse.asked = keeper or ""
         if keeper is None:
-            if not purse.held.has_silent_keeper(able):
+            if not purse.held.has_silent_coordinator(able):
                 self._refuse_waiting(purse)
             return
         purse.asked_s = now_s
