--- a/bench/mutants_serving.py
+++ b/bench/mutants_serving.py
@@ -28,8 +28,8 @@
 from knapweedbridge_core.serving import store_outage as store_outage_module
 from knapweedbridge_daemon.serving import permits as permits_module
 from knapweedbridge_daemon.serving import stream_resuming as stream_resuming_module
+from knapweedbridge_daemon.serving.relay_log import ToldItems
 from knapweedbridge_daemon.serving.stream_resuming import StreamResuming
-from knapweedbridge_daemon.serving.told_items import ToldItems
 from knapweedbridge_standins.quota_pool import ways as ways_module
 from knapweedbridge_standins.serving_histories import repeats as repeats_module
 
--- a/features/serving/steps/late_news_steps.py
+++ b/features/serving/steps/late_news_steps.py
@@ -6,8 +6,8 @@
 from knapweedbridge_core.serving import ClusterState, DaemonRecord
 from knapweedbridge_core.serving.cluster_state import DaemonNamed
 from knapweedbridge_core.serving.messages import RelayRequest, StoreUpdate
+from knapweedbridge_daemon.serving.relay_log import ToldItems
 from knapweedbridge_daemon.serving.store_telling import pack_items
-from knapweedbridge_daemon.serving.told_items import ToldItems
 from knapweedbridge_daemon.store import StoreItem, StoreItems
 from knapweedbridge_standins.relay_pool import (
     ListedStore,
--- a/packages/daemon/src/knapweedbridge_daemon/serving/update_relay.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/update_relay.py
@@ -24,8 +24,8 @@
     StoreUpdate,
 )
 from knapweedbridge_daemon.serving.hub import Hub, Send
+from knapweedbridge_daemon.serving.relay_log import ToldItems
 from knapweedbridge_daemon.serving.store_telling import pack_engines, pack_items
-from knapweedbridge_daemon.serving.told_items import ToldItems
 from knapweedbridge_daemon.store import StoreItem
 
 RELAY_S = 0.2
