--- a/packages/daemon/src/knapweedbridge_daemon/serving/answer_signs.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/answer_signs.py
@@ -8,7 +8,7 @@
 from knapweedbridge_daemon.serving.permits import Permits
 
 
-class AnswerSigns:
+class BackpressureRecorder:
     """Reads backpressure from the answers of endpoints.
 
     Parameters
--- a/packages/daemon/src/knapweedbridge_daemon/serving/engine_owners.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/engine_owners.py
@@ -14,7 +14,7 @@
     TurnRequest,
 )
 from knapweedbridge_core.serving.ownership import OwnerRecord
-from knapweedbridge_daemon.serving.answer_signs import AnswerSigns
+from knapweedbridge_daemon.serving.answer_signs import BackpressureRecorder
 from knapweedbridge_daemon.serving.engine_owning import (
     ORDER_TIMEOUT_S,
     WORK_S,
@@ -45,12 +45,12 @@
         Sends a message to a daemon, this one too.
     permits : Permits
         Lets orders go to limited engines.
-    signs : AnswerSigns
+    signs : BackpressureRecorder
         Takes what engines ask for in their answers to orders.
     """
 
     def __init__(
-        self, hub: Hub, send: Send, permits: Permits, signs: AnswerSigns
+        self, hub: Hub, send: Send, permits: Permits, signs: BackpressureRecorder
     ) -> None:
         self._hub = hub
         self._send = send
--- a/packages/daemon/src/knapweedbridge_daemon/serving/engine_owning.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/engine_owning.py
@@ -28,7 +28,7 @@
 )
 from knapweedbridge_core.serving.ownership import OwnerRecord
 from knapweedbridge_core.serving.prompt_pacing import LEAST_PAUSE_S
-from knapweedbridge_daemon.serving.answer_signs import AnswerSigns
+from knapweedbridge_daemon.serving.answer_signs import BackpressureRecorder
 from knapweedbridge_daemon.serving.dialects import DialectError
 from knapweedbridge_daemon.serving.engine_speeds import SpeedKeeping
 from knapweedbridge_daemon.serving.http_client import (
@@ -83,7 +83,7 @@
         Sends a message to a daemon.
     permits : Permits
         Lets orders go to a limited engine.
-    signs : AnswerSigns
+    signs : BackpressureRecorder
         Takes what the engine asks for in its answers to orders.
     """
 
@@ -95,7 +95,7 @@
         record: OwnerRecord,
         send: Send,
         permits: Permits,
-        signs: AnswerSigns,
+        signs: BackpressureRecorder,
     ) -> None:
         self._permits = permits
         self._signs = signs
--- a/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
@@ -22,7 +22,7 @@
 )
 from knapweedbridge_daemon.peer_sockets import PeerListener
 from knapweedbridge_daemon.peers import Peers
-from knapweedbridge_daemon.serving.answer_signs import AnswerSigns
+from knapweedbridge_daemon.serving.answer_signs import BackpressureRecorder
 from knapweedbridge_daemon.serving.crash_watch import CrashWatch, OfLosses
 from knapweedbridge_daemon.serving.engine_owners import EngineOwners, ToOwner
 from knapweedbridge_daemon.serving.forwarding import Forwarding
@@ -68,7 +68,7 @@
         self.relaying = UpdateRelay(hub, self.send)
         self.permits = Permits(hub, self.send, self.relaying)
         self.plain = PlainCounts(hub, self.send)
-        self.signs = AnswerSigns(hub, self.permits)
+        self.signs = BackpressureRecorder(hub, self.permits)
         self.forwarding = Forwarding(hub, tunnels)
         self.owners = EngineOwners(hub, self.send, self.permits, self.signs)
         self.shares = QuotaShares(hub, self.send)
