--- a/packages/core/src/knapweedbridge_core/bridge.py
+++ b/packages/core/src/knapweedbridge_core/bridge.py
@@ -5,7 +5,7 @@
 from knapweedbridge_core.actions import Action
 from knapweedbridge_core.blame import Blame
 from knapweedbridge_core.blame_side import BlameSide
-from knapweedbridge_core.claim_coordinator import ClaimKeeper
+from knapweedbridge_core.claim_coordinator import ClaimCoordinator
 from knapweedbridge_core.claimant_side import ClaimantSide
 from knapweedbridge_core.configuration import Configuration
 from knapweedbridge_core.configuration_side import ConfigurationSide
@@ -68,7 +68,7 @@
         # The load side must handle a failed load before the owner reports its end.
         answering = (*owning, *guards, self.requests, demand)
         roles = (self.distribution, self.loads, *answering)
-        claims = (claimant, ClaimKeeper(self._context))
+        claims = (claimant, ClaimCoordinator(self._context))
         sides = (member, *roles, self.operators, *claims)
         for side in sides:
             self._context.register(side)
--- a/packages/core/src/knapweedbridge_core/claim_coordinator.py
+++ b/packages/core/src/knapweedbridge_core/claim_coordinator.py
@@ -39,7 +39,7 @@
     revision: int | None
 
 
-class ClaimKeeper(Side):
+class ClaimCoordinator(Side):
     """Gathers claims while a write is under way, and writes them together.
 
     A write that fails, and one whose reply was lost, are settled alike: all its
