--- a/features/plain/steps/counting_steps.py
+++ b/features/plain/steps/counting_steps.py
@@ -13,7 +13,7 @@
 )
 from knapweedbridge_core.serving.cluster_state import EndpointNamed
 from knapweedbridge_core.serving.permit_messages import PermitResponse
-from knapweedbridge_daemon.serving.plain_counters import counting_daemon
+from knapweedbridge_daemon.serving.plain_counters import load_coordinator
 from knapweedbridge_daemon.serving.plain_greeting import is_of_plain
 from knapweedbridge_standins.relay_pool import RelayPool
 from knapweedbridge_standins.virtual_loop import run_virtually
@@ -73,7 +73,7 @@
     """Have each daemon know which of the others count, as after its first requests."""
     for daemon in pool.daemons.values():
         for endpoint in endpoints_of(daemon):
-            keeper = counting_daemon(daemon.hub, endpoint)
+            keeper = load_coordinator(daemon.hub, endpoint)
             if not daemon.hub.cluster.is_small_pool:
                 await daemon.link.plain._asking._may_ask(keeper)
     await anyio.sleep(0.01)
@@ -128,7 +128,7 @@
 @when("the counting daemon of the near endpoint is {trouble}, and a request is placed")
 def in_trouble(context, trouble):
     async def story(pool):
-        keeper = counting_daemon(
+        keeper = load_coordinator(
             near_daemons(pool)[0].hub, endpoints_of(near_daemons(pool)[0])[0]
         )
         asker = next(each for each in near_daemons(pool) if each.name != keeper)
@@ -204,7 +204,7 @@
         await anyio.sleep(0.05)
         asker = near_daemons(pool)[0]
         endpoint = endpoints_of(asker)[0]
-        keeper = pool.daemons[counting_daemon(asker.hub, endpoint)]
+        keeper = pool.daemons[load_coordinator(asker.hub, endpoint)]
         counter = keeper.link.plain._counters._counters[endpoint.start]
         context.count = counter.state(anyio.current_time()).running
 
--- a/packages/daemon/src/knapweedbridge_daemon/serving/plain_asking.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/plain_asking.py
@@ -12,7 +12,7 @@
     PlainLoadResponse,
 )
 from knapweedbridge_daemon.serving.hub import Hub, Send
-from knapweedbridge_daemon.serving.plain_counters import counting_daemon
+from knapweedbridge_daemon.serving.plain_counters import load_coordinator
 from knapweedbridge_daemon.serving.plain_greeting import GREETING, NO_TICKET, OfPlain
 
 SILENT_S = 1.0
@@ -85,7 +85,7 @@
         """Ask what runs at some endpoints; return what was answered until a moment."""
         question = Question()
         for endpoint in endpoints:
-            keeper = counting_daemon(self._hub, endpoint)
+            keeper = load_coordinator(self._hub, endpoint)
             if keeper is not None and await self._may_ask(keeper):
                 ticket = next(self._tickets)
                 question.asked[ticket] = endpoint, keeper
--- a/packages/daemon/src/knapweedbridge_daemon/serving/plain_counters.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/plain_counters.py
@@ -17,7 +17,7 @@
 from knapweedbridge_daemon.serving.plain_greeting import GREETING, UNDERSTOOD, OfPlain
 
 
-def counting_daemon(hub: Hub, endpoint: Endpoint) -> str | None:
+def load_coordinator(hub: Hub, endpoint: Endpoint) -> str | None:
     """Name the daemon that counts an endpoint's requests; None where none is known."""
     candidates = hub.cluster.quota_coordinators
     return permit_coordinator(endpoint.name, endpoint.record.data_centre, candidates)
@@ -56,7 +56,7 @@
         start = EndpointStart(message.endpoint, message.started_ms)
         if endpoint is None or not endpoint.start.may_be(start):
             return None
-        is_ours = counting_daemon(self._hub, endpoint) == self._hub.identity.name
+        is_ours = load_coordinator(self._hub, endpoint) == self._hub.identity.name
         return endpoint if is_ours else None
 
     async def _take(
@@ -95,6 +95,6 @@
             if (
                 endpoint is None
                 or endpoint.start != start
-                or counting_daemon(self._hub, endpoint) != own_name
+                or load_coordinator(self._hub, endpoint) != own_name
             ):
                 del self._counters[start]
--- a/packages/daemon/src/knapweedbridge_daemon/serving/plain_counting.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/plain_counting.py
@@ -23,7 +23,7 @@
 from knapweedbridge_core.serving.plain_messages import PlainLoadReport
 from knapweedbridge_daemon.serving.hub import Hub, Send
 from knapweedbridge_daemon.serving.plain_asking import PlainAsking
-from knapweedbridge_daemon.serving.plain_counters import PlainCounters, counting_daemon
+from knapweedbridge_daemon.serving.plain_counters import PlainCounters, load_coordinator
 from knapweedbridge_daemon.serving.plain_greeting import OfPlain
 
 ANSWER_S = 0.03
@@ -168,7 +168,7 @@
 
     async def _tell(self, endpoint: Endpoint, ended: int = 0, refused: int = 0) -> None:
         """Tell an endpoint's counting daemon of all requests of this daemon there."""
-        keeper = counting_daemon(self._hub, endpoint)
+        keeper = load_coordinator(self._hub, endpoint)
         if keeper is None or not self._asking.understands(keeper):
             return
         start, calls = endpoint.start, self._calls[endpoint.start]
