--- a/bench/mutants_serving.py
+++ b/bench/mutants_serving.py
@@ -28,7 +28,7 @@
 from knapweedbridge_core.serving import store_outage as store_outage_module
 from knapweedbridge_daemon.serving import permits as permits_module
 from knapweedbridge_daemon.serving import stream_resuming as stream_resuming_module
-from knapweedbridge_daemon.serving.relay_log import ToldItems
+from knapweedbridge_daemon.serving.relay_log import RelayLog
 from knapweedbridge_daemon.serving.stream_resuming import StreamResuming
 from knapweedbridge_standins.quota_pool import ways as ways_module
 from knapweedbridge_standins.serving_histories import repeats as repeats_module
@@ -166,7 +166,7 @@
     ),
     "relays catch nobody up": (
         "who knows of it in time",
-        [(ToldItems, "after", lambda self, revision: None)],
+        [(RelayLog, "after", lambda self, revision: None)],
     ),
     "a relay that the store turns away hears nobody": (
         "who knows of it in time",
--- a/features/serving/steps/late_news_steps.py
+++ b/features/serving/steps/late_news_steps.py
@@ -6,7 +6,7 @@
 from knapweedbridge_core.serving import ClusterState, DaemonRecord
 from knapweedbridge_core.serving.cluster_state import DaemonNamed
 from knapweedbridge_core.serving.messages import RelayRequest, StoreUpdate
-from knapweedbridge_daemon.serving.relay_log import ToldItems
+from knapweedbridge_daemon.serving.relay_log import RelayLog
 from knapweedbridge_daemon.serving.store_telling import pack_items
 from knapweedbridge_daemon.store import StoreItem, StoreItems
 from knapweedbridge_standins.relay_pool import (
@@ -194,7 +194,7 @@
 
 @given("a relay that handed on changes of {keys:d} keys up to revision {newest:d}")
 def handed_on(context, keys, newest):
-    context.log = ToldItems()
+    context.log = RelayLog()
     for revision in range(6, newest + 1):
         item = StoreItem(f"k{revision % keys}", b"", revision)
         context.log.add(revision - 1, [item])
--- a/packages/daemon/src/knapweedbridge_daemon/serving/relay_log.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/relay_log.py
@@ -8,7 +8,7 @@
 """Items kept, to bound the memory. Who has missed more reads the store itself."""
 
 
-class ToldItems:
+class RelayLog:
     """A bounded log of what was handed on, without a gap."""
 
     __slots__ = ("_items", "_since")
--- a/packages/daemon/src/knapweedbridge_daemon/serving/update_relay.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/update_relay.py
@@ -24,7 +24,7 @@
     StoreUpdate,
 )
 from knapweedbridge_daemon.serving.hub import Hub, Send
-from knapweedbridge_daemon.serving.relay_log import ToldItems
+from knapweedbridge_daemon.serving.relay_log import RelayLog
 from knapweedbridge_daemon.serving.store_telling import pack_engines, pack_items
 from knapweedbridge_daemon.store import StoreItem
 
@@ -69,7 +69,7 @@
         self._told: set[str] = set()
         self._adopted_s: dict[str, float] = {}
         self._marks = SubscriberMarks()
-        self._log = ToldItems()
+        self._log = RelayLog()
         self._missed_after: dict[str, int] = {}
         self._own_hearers: list[str] = []
         self._hearers_of: dict[str, list[str]] | None = None
