--- a/packages/daemon/src/knapweedbridge_daemon/serving/engine_owners.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/engine_owners.py
@@ -14,7 +14,7 @@
     TurnRequest,
 )
 from knapweedbridge_core.serving.ownership import OwnerRecord
-from knapweedbridge_daemon.serving.answer_signs import BackpressureRecorder
+from knapweedbridge_daemon.serving.backpressure_recorder import BackpressureRecorder
 from knapweedbridge_daemon.serving.engine_owning import (
     ORDER_TIMEOUT_S,
     WORK_S,
--- a/packages/daemon/src/knapweedbridge_daemon/serving/engine_owning.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/engine_owning.py
@@ -28,7 +28,7 @@
 )
 from knapweedbridge_core.serving.ownership import OwnerRecord
 from knapweedbridge_core.serving.prompt_pacing import LEAST_PAUSE_S
-from knapweedbridge_daemon.serving.answer_signs import BackpressureRecorder
+from knapweedbridge_daemon.serving.backpressure_recorder import BackpressureRecorder
 from knapweedbridge_daemon.serving.dialects import DialectError
 from knapweedbridge_daemon.serving.engine_speeds import SpeedKeeping
 from knapweedbridge_daemon.serving.http_client import (
--- a/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
@@ -22,7 +22,7 @@
 )
 from knapweedbridge_daemon.peer_sockets import PeerListener
 from knapweedbridge_daemon.peers import Peers
-from knapweedbridge_daemon.serving.answer_signs import BackpressureRecorder
+from knapweedbridge_daemon.serving.backpressure_recorder import BackpressureRecorder
 from knapweedbridge_daemon.serving.crash_watch import CrashWatch, OfLosses
 from knapweedbridge_daemon.serving.engine_owners import EngineOwners, ToOwner
 from knapweedbridge_daemon.serving.forwarding import Forwarding
