--- a/packages/core/src/knapweedbridge_core/bridge.py
+++ b/packages/core/src/knapweedbridge_core/bridge.py
@@ -11,7 +11,6 @@
 from knapweedbridge_core.configuration_side import ConfigurationSide
 from knapweedbridge_core.context import Context, Timing
 from knapweedbridge_core.demand_side import DemandSide
-from knapweedbridge_core.estate import Estate
 from knapweedbridge_core.grant_side import GrantSide
 from knapweedbridge_core.holder_side import HolderSide
 from knapweedbridge_core.leaving import Leaving
@@ -22,6 +21,7 @@
 from knapweedbridge_core.members import Members
 from knapweedbridge_core.operator_side import OperatorSide
 from knapweedbridge_core.order_side import OrderSide
+from knapweedbridge_core.owned_endpoints import Estate
 from knapweedbridge_core.owner_side import OwnerSide
 from knapweedbridge_core.request_side import RequestSide
 from knapweedbridge_core.view import View
--- a/packages/core/src/knapweedbridge_core/grant_side.py
+++ b/packages/core/src/knapweedbridge_core/grant_side.py
@@ -6,10 +6,10 @@
 from knapweedbridge_core import events, messages
 from knapweedbridge_core.actions import StoreRead
 from knapweedbridge_core.context import Context, Handler
-from knapweedbridge_core.estate import Estate, EstateSide
 from knapweedbridge_core.grant_admission import GrantAdmission
 from knapweedbridge_core.leases import LIVENESS_PREFIX
 from knapweedbridge_core.outcomes import Reason
+from knapweedbridge_core.owned_endpoints import Estate, EstateSide
 from knapweedbridge_core.tenure import Tenure
 from knapweedbridge_core.times import (
     RECONCILE_INTERVAL_S,
--- a/packages/core/src/knapweedbridge_core/order_side.py
+++ b/packages/core/src/knapweedbridge_core/order_side.py
@@ -5,8 +5,8 @@
 from knapweedbridge_core import events, messages, rendezvous
 from knapweedbridge_core.actions import OrderEndpoint
 from knapweedbridge_core.context import Context, Handler
-from knapweedbridge_core.estate import Estate, EstateSide
 from knapweedbridge_core.names import AdapterVersion
+from knapweedbridge_core.owned_endpoints import Estate, EstateSide
 from knapweedbridge_core.tenure import Tenure
 from knapweedbridge_core.times import WITNESS_TIMEOUT_S
 
--- a/packages/core/src/knapweedbridge_core/owner_side.py
+++ b/packages/core/src/knapweedbridge_core/owner_side.py
@@ -8,8 +8,8 @@
 from knapweedbridge_core.actions import RequestReport
 from knapweedbridge_core.configuration import EndpointEntry
 from knapweedbridge_core.context import Context, Handler
-from knapweedbridge_core.estate import Estate, EstateSide
 from knapweedbridge_core.ledger import Ledger
+from knapweedbridge_core.owned_endpoints import Estate, EstateSide
 from knapweedbridge_core.owners import (
     Claimed,
     HandedOver,
