--- a/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
@@ -27,7 +27,7 @@
 from knapweedbridge_daemon.serving.engine_owners import EngineOwners, ToOwner
 from knapweedbridge_daemon.serving.forwarding import Forwarding
 from knapweedbridge_daemon.serving.hub import Hub
-from knapweedbridge_daemon.serving.permits import OfPermits, Permits
+from knapweedbridge_daemon.serving.permits import PermitMessage, Permits
 from knapweedbridge_daemon.serving.plain_counting import PlainCounts
 from knapweedbridge_daemon.serving.plain_greeting import OfPlain, is_of_plain
 from knapweedbridge_daemon.serving.quota_shares import QuotaShares
@@ -89,7 +89,7 @@
         }
         takers |= dict.fromkeys((QuotaRequest, QuotaResponse), self.shares.handle)
         takers |= dict.fromkeys(get_args(OfLosses), self.crashes.handle)
-        of_calls = get_args(OfPlain) + get_args(OfPermits)
+        of_calls = get_args(OfPlain) + get_args(PermitMessage)
         takers |= dict.fromkeys(of_calls, self._take_of_calls)
         takers |= dict.fromkeys(get_args(OfOrigins), self.resuming.handle)
         of_relay = StoreUpdate, StoreMark, RelayRequest
@@ -222,10 +222,12 @@
             self._hub.engines_changed.tell()
         return True
 
-    async def _take_of_calls(self, daemon: str, message: OfPlain | OfPermits) -> None:
+    async def _take_of_calls(
+        self, daemon: str, message: OfPlain | PermitMessage
+    ) -> None:
         if is_of_plain(message):
             await self.plain.handle(daemon, message)
-        elif isinstance(message, OfPermits):
+        elif isinstance(message, PermitMessage):
             await self.permits.handle(daemon, message)
 
     async def _take_relayed(self, relay: str, message: StoreUpdate) -> None:
--- a/packages/daemon/src/knapweedbridge_daemon/serving/permits.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/permits.py
@@ -35,7 +35,7 @@
 SILENT_S = 0.2
 """How long an endpoint is left alone whose keeper gave no answer."""
 
-OfPermits = (
+PermitMessage = (
     LimitReport
     | LimitUpdate
     | PermitRequest
@@ -164,7 +164,7 @@
         if keeper is not None:
             await self._send(keeper, LimitReport(*self._limit_of(endpoint)))
 
-    async def handle(self, daemon: str, message: OfPermits) -> None:
+    async def handle(self, daemon: str, message: PermitMessage) -> None:
         """Take a daemon's question or news, or a keeper's."""
         if isinstance(message, PermitResponse):
             self._take_answer(message)
