--- a/bench/peer_messages.py
+++ b/bench/peer_messages.py
@@ -58,7 +58,7 @@
 from knapweedbridge_daemon.serving.lease_keeping import LeaseKeeper
 from knapweedbridge_daemon.serving.measures import Measures
 from knapweedbridge_daemon.serving.peer_link import PeerLink
-from knapweedbridge_daemon.serving.store_telling import pack_engines, pack_items
+from knapweedbridge_daemon.serving.store_update_codec import pack_engines, pack_items
 
 ENGINES = 70
 DAEMONS = 70
--- a/features/serving/steps/late_news_steps.py
+++ b/features/serving/steps/late_news_steps.py
@@ -7,7 +7,7 @@
 from knapweedbridge_core.serving.cluster_state import DaemonNamed
 from knapweedbridge_core.serving.messages import RelayRequest, StoreUpdate
 from knapweedbridge_daemon.serving.relay_log import RelayLog
-from knapweedbridge_daemon.serving.store_telling import pack_items
+from knapweedbridge_daemon.serving.store_update_codec import pack_items
 from knapweedbridge_daemon.store import StoreItem, StoreItems
 from knapweedbridge_standins.relay_pool import (
     ListedStore,
--- a/features/serving/steps/relay_steps.py
+++ b/features/serving/steps/relay_steps.py
@@ -22,7 +22,7 @@
     StoreUpdate,
 )
 from knapweedbridge_daemon.serving.store_follower import StoreFollower
-from knapweedbridge_daemon.serving.store_telling import (
+from knapweedbridge_daemon.serving.store_update_codec import (
     pack_items,
     unpack_engines,
     unpack_items,
--- a/features/serving/steps/store_steps.py
+++ b/features/serving/steps/store_steps.py
@@ -7,7 +7,7 @@
 from knapweedbridge_core.serving import StoreAge
 from knapweedbridge_core.serving.messages import StoreUpdate
 from knapweedbridge_daemon.serving.store_follower import StoreFollower
-from knapweedbridge_daemon.serving.store_telling import pack_items, unpack_items
+from knapweedbridge_daemon.serving.store_update_codec import pack_items, unpack_items
 from knapweedbridge_daemon.store import StoreItem
 
 LINK_BYTES_PER_S = 5_000_000 / 8
--- a/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
@@ -32,7 +32,7 @@
 from knapweedbridge_daemon.serving.plain_greeting import OfPlain, is_of_plain
 from knapweedbridge_daemon.serving.quota_shares import QuotaShares
 from knapweedbridge_daemon.serving.running_calls import RunningCalls
-from knapweedbridge_daemon.serving.store_telling import unpack_engines
+from knapweedbridge_daemon.serving.store_update_codec import unpack_engines
 from knapweedbridge_daemon.serving.stream_resuming import OfOrigins, StreamResuming
 from knapweedbridge_daemon.serving.turns import Turns
 from knapweedbridge_daemon.serving.update_relay import UpdateRelay
--- a/packages/daemon/src/knapweedbridge_daemon/serving/store_follower.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/store_follower.py
@@ -21,7 +21,7 @@
 from knapweedbridge_daemon.serving.hub import Hub
 from knapweedbridge_daemon.serving.item_reading import ItemReader
 from knapweedbridge_daemon.serving.store_calls import StoreCalls
-from knapweedbridge_daemon.serving.store_telling import unpack_items
+from knapweedbridge_daemon.serving.store_update_codec import unpack_items
 from knapweedbridge_daemon.store import HistoryGoneError, StoreItem
 
 WATCH_S = 1.5
--- a/packages/daemon/src/knapweedbridge_daemon/serving/update_relay.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/update_relay.py
@@ -25,7 +25,7 @@
 )
 from knapweedbridge_daemon.serving.hub import Hub, Send
 from knapweedbridge_daemon.serving.relay_log import RelayLog
-from knapweedbridge_daemon.serving.store_telling import pack_engines, pack_items
+from knapweedbridge_daemon.serving.store_update_codec import pack_engines, pack_items
 from knapweedbridge_daemon.store import StoreItem
 
 RELAY_S = 0.2
