--- a/packages/daemon/src/knapweedbridge_daemon/serving/patience.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/patience.py
@@ -54,7 +54,7 @@
         return NotBegunError("superseded" if is_superseded else "silent")
 
 
-class PatienceKeeper:
+class FirstByteTimeouts:
     """Bounds the patience with all attempts of one daemon that have not begun.
 
     A version may be named at any time while they wait, so each naming looks at those of
