--- a/packages/core/src/knapweedbridge_core/grant_side.py
+++ b/packages/core/src/knapweedbridge_core/grant_side.py
@@ -9,7 +9,7 @@
 from knapweedbridge_core.grant_admission import GrantAdmission
 from knapweedbridge_core.leases import LIVENESS_PREFIX
 from knapweedbridge_core.outcomes import Reason
-from knapweedbridge_core.owned_endpoints import Estate, EstateSide
+from knapweedbridge_core.owned_endpoints import Estate, OwnedEndpointsSide
 from knapweedbridge_core.tenure import Tenure
 from knapweedbridge_core.times import (
     RECONCILE_INTERVAL_S,
@@ -36,7 +36,7 @@
     answered: bool = False
 
 
-class GrantSide(EstateSide):
+class GrantSide(OwnedEndpointsSide):
     """Give, collect and release the grants of owned endpoints.
 
     Parameters
--- a/packages/core/src/knapweedbridge_core/order_side.py
+++ b/packages/core/src/knapweedbridge_core/order_side.py
@@ -6,14 +6,14 @@
 from knapweedbridge_core.actions import OrderEndpoint
 from knapweedbridge_core.context import Context, Handler
 from knapweedbridge_core.names import AdapterVersion
-from knapweedbridge_core.owned_endpoints import Estate, EstateSide
+from knapweedbridge_core.owned_endpoints import Estate, OwnedEndpointsSide
 from knapweedbridge_core.tenure import Tenure
 from knapweedbridge_core.times import WITNESS_TIMEOUT_S
 
 WITNESSES = 2
 
 
-class OrderSide(EstateSide):
+class OrderSide(OwnedEndpointsSide):
     """Carries out placed loads on the owned endpoints."""
 
     def __init__(self, context: Context, estate: Estate) -> None:
--- a/packages/core/src/knapweedbridge_core/owned_endpoints.py
+++ b/packages/core/src/knapweedbridge_core/owned_endpoints.py
@@ -126,7 +126,7 @@
         self._context.receive(self._context.host, message)
 
 
-class EstateSide(Side):
+class OwnedEndpointsSide(Side):
     """One of the owner's sides.
 
     Parameters
--- a/packages/core/src/knapweedbridge_core/owner_side.py
+++ b/packages/core/src/knapweedbridge_core/owner_side.py
@@ -9,7 +9,7 @@
 from knapweedbridge_core.configuration import EndpointEntry
 from knapweedbridge_core.context import Context, Handler
 from knapweedbridge_core.ledger import Ledger
-from knapweedbridge_core.owned_endpoints import Estate, EstateSide
+from knapweedbridge_core.owned_endpoints import Estate, OwnedEndpointsSide
 from knapweedbridge_core.owners import (
     Claimed,
     HandedOver,
@@ -28,7 +28,7 @@
 RUNNING_STEP_SHARE = 0.25
 
 
-class OwnerSide(EstateSide):
+class OwnerSide(OwnedEndpointsSide):
     """Own endpoints: take them over, request their reports and hand them over.
 
     Parameters
