--- a/features/platform/standins.py
+++ b/features/platform/standins.py
@@ -10,7 +10,7 @@
 import anyio
 
 from knapweedbridge_core.serving import RequestLimits
-from knapweedbridge_daemon.serving.http_server import CallersFace
+from knapweedbridge_daemon.serving.http_server import HttpServer
 
 JSON = [(b"Content-Type", b"application/json")]
 
@@ -27,7 +27,7 @@
         self.ended = anyio.Event()
 
     async def run(self, *, task_status=anyio.TASK_STATUS_IGNORED):
-        face = CallersFace(
+        face = HttpServer(
             self.handle, lambda: RequestLimits(), self.faults.append, self.faults.append
         )
         listener = await anyio.create_tcp_listener(
--- a/features/wire/steps/wire_play.py
+++ b/features/wire/steps/wire_play.py
@@ -8,7 +8,7 @@
 from h11_reading import BODY_BYTES, HEAD_BYTES
 
 from knapweedbridge_core.serving import RequestLimits
-from knapweedbridge_daemon.serving.http_server import CallersFace
+from knapweedbridge_daemon.serving.http_server import HttpServer
 
 SEED = 3
 RANDOM_CUTS = 6
@@ -57,7 +57,7 @@
         await responder.answer(200, [], b"ok")
 
     async def start(self, tasks):
-        self.face = CallersFace(
+        self.face = HttpServer(
             self.handle, lambda: LIMITS, lambda error: None, self.faults.append
         )
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
--- a/packages/daemon/src/knapweedbridge_daemon/serving/host.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/host.py
@@ -25,7 +25,7 @@
 from knapweedbridge_daemon.serving.endpoint_connector import EndpointConnector
 from knapweedbridge_daemon.serving.forwarding import Forwarding
 from knapweedbridge_daemon.serving.held_memory import HeldMemory
-from knapweedbridge_daemon.serving.http_server import CallersFace
+from knapweedbridge_daemon.serving.http_server import HttpServer
 from knapweedbridge_daemon.serving.hub import Hub, Identity
 from knapweedbridge_daemon.serving.lapse_check import LapseCheck
 from knapweedbridge_daemon.serving.lease_keeping import LeaseKeeper
@@ -152,7 +152,7 @@
         app = CallersApp(hub, CallRunner(hub, link), link.shares)
         held = HeldMemory(hub)
         handle = held.guard(app.handle)
-        face = CallersFace(handle, app.limits, app.count_bad, app.count_fault)
+        face = HttpServer(handle, app.limits, app.count_bad, app.count_fault)
         async with anyio.create_task_group() as callers:
             try:
                 async with anyio.create_task_group() as tasks:
@@ -190,12 +190,12 @@
         return split_address(self._settings.get("listen", name))
 
     async def _listen(
-        self, callers: TaskGroup, hub: Hub, face: CallersFace, app: CallersApp
+        self, callers: TaskGroup, hub: Hub, face: HttpServer, app: CallersApp
     ) -> None:
         side = SideFaces(hub)
         counts = app.count_bad, app.count_fault
-        ready = CallersFace(side.ready, side.limits, *counts)
-        metrics = CallersFace(side.metrics, side.limits, *counts)
+        ready = HttpServer(side.ready, side.limits, *counts)
+        metrics = HttpServer(side.metrics, side.limits, *counts)
         faces = {"callers": face, "ready": ready, "metrics": metrics}
         for name, served in faces.items():
             ip, port = self._address(name)
@@ -208,7 +208,7 @@
         self,
         hub: Hub,
         lease: LeaseKeeper,
-        face: CallersFace,
+        face: HttpServer,
         app: CallersApp,
         forwarding: Forwarding,
     ) -> None:
@@ -245,7 +245,7 @@
         self,
         hub: Hub,
         lease: LeaseKeeper,
-        face: CallersFace,
+        face: HttpServer,
         app: CallersApp,
         forwarding: Forwarding,
     ) -> None:
@@ -267,7 +267,7 @@
         await self._end_calls(face, app)
 
     @staticmethod
-    async def _end_calls(face: CallersFace, app: CallersApp) -> None:
+    async def _end_calls(face: HttpServer, app: CallersApp) -> None:
         """End all calls, and give callers a moment to read the answers."""
         face.closing = True
         app.end_calls()
--- a/packages/daemon/src/knapweedbridge_daemon/serving/http_server.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/http_server.py
@@ -29,7 +29,7 @@
     "BadRequestError",
     "CallerConnection",
     "CallerGoneError",
-    "CallersFace",
+    "HttpServer",
     "ReceivedRequest",
     "Responder",
 ]
@@ -107,7 +107,7 @@
 class CallerConnection:
     """One caller's connection, from its opening to its end."""
 
-    def __init__(self, face: "CallersFace", stream: SocketStream) -> None:
+    def __init__(self, face: "HttpServer", stream: SocketStream) -> None:
         self._face = face
         self._stream = stream
         self._wire = ByteStream.take_over(stream)
@@ -226,7 +226,7 @@
                 pass
 
 
-class CallersFace:
+class HttpServer:
     """Accepts callers' connections and hands their requests to a handler.
 
     Parameters
