--- a/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
@@ -29,7 +29,7 @@
 from knapweedbridge_daemon.serving.hub import Hub
 from knapweedbridge_daemon.serving.permits import PermitMessage, Permits
 from knapweedbridge_daemon.serving.plain_counting import PlainCounts
-from knapweedbridge_daemon.serving.plain_greeting import OfPlain, is_of_plain
+from knapweedbridge_daemon.serving.plain_greeting import PlainMessage, is_of_plain
 from knapweedbridge_daemon.serving.quota_shares import QuotaShares
 from knapweedbridge_daemon.serving.running_calls import RunningCalls
 from knapweedbridge_daemon.serving.store_update_codec import unpack_engines
@@ -89,7 +89,7 @@
         }
         takers |= dict.fromkeys((QuotaRequest, QuotaResponse), self.shares.handle)
         takers |= dict.fromkeys(get_args(OfLosses), self.crashes.handle)
-        of_calls = get_args(OfPlain) + get_args(PermitMessage)
+        of_calls = get_args(PlainMessage) + get_args(PermitMessage)
         takers |= dict.fromkeys(of_calls, self._take_of_calls)
         takers |= dict.fromkeys(get_args(OfOrigins), self.resuming.handle)
         of_relay = StoreUpdate, StoreMark, RelayRequest
@@ -223,7 +223,7 @@
         return True
 
     async def _take_of_calls(
-        self, daemon: str, message: OfPlain | PermitMessage
+        self, daemon: str, message: PlainMessage | PermitMessage
     ) -> None:
         if is_of_plain(message):
             await self.plain.handle(daemon, message)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/plain_asking.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/plain_asking.py
@@ -13,7 +13,11 @@
 )
 from knapweedbridge_daemon.serving.hub import Hub, Send
 from knapweedbridge_daemon.serving.plain_counters import load_coordinator
-from knapweedbridge_daemon.serving.plain_greeting import GREETING, NO_TICKET, OfPlain
+from knapweedbridge_daemon.serving.plain_greeting import (
+    GREETING,
+    NO_TICKET,
+    PlainMessage,
+)
 
 SILENT_S = 1.0
 """How long a counting daemon that gave no answer is not asked: in that time one that
@@ -126,7 +130,7 @@
         # One that is this daemon has answered by now.
         return self.understands(keeper)
 
-    def take(self, daemon: str, message: OfPlain) -> bool:
+    def take(self, daemon: str, message: PlainMessage) -> bool:
         """Take an answer; False where a message is none."""
         if not isinstance(message, PlainLoadResponse):
             return False
--- a/packages/daemon/src/knapweedbridge_daemon/serving/plain_counters.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/plain_counters.py
@@ -14,7 +14,11 @@
     PlainLoadResponse,
 )
 from knapweedbridge_daemon.serving.hub import Hub, Send
-from knapweedbridge_daemon.serving.plain_greeting import GREETING, UNDERSTOOD, OfPlain
+from knapweedbridge_daemon.serving.plain_greeting import (
+    GREETING,
+    UNDERSTOOD,
+    PlainMessage,
+)
 
 
 def load_coordinator(hub: Hub, endpoint: Endpoint) -> str | None:
@@ -39,7 +43,7 @@
         self._send = send
         self._counters: dict[EndpointStart, PlainCounter] = {}
 
-    async def handle(self, daemon: str, message: OfPlain) -> None:
+    async def handle(self, daemon: str, message: PlainMessage) -> None:
         """Take a daemon's greeting, question or word of what it runs."""
         if message == GREETING:
             await self._send(daemon, UNDERSTOOD)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/plain_counting.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/plain_counting.py
@@ -24,7 +24,7 @@
 from knapweedbridge_daemon.serving.hub import Hub, Send
 from knapweedbridge_daemon.serving.plain_asking import PlainAsking
 from knapweedbridge_daemon.serving.plain_counters import PlainCounters, load_coordinator
-from knapweedbridge_daemon.serving.plain_greeting import OfPlain
+from knapweedbridge_daemon.serving.plain_greeting import PlainMessage
 
 ANSWER_S = 0.03
 """How long a request waits in all for answers: they take 2 to 4 ms, and objectives of
@@ -175,7 +175,7 @@
         told = PlainLoadReport(endpoint.name, start.started_ms, calls, ended, refused)
         await self._send(keeper, told)
 
-    async def handle(self, daemon: str, message: OfPlain) -> None:
+    async def handle(self, daemon: str, message: PlainMessage) -> None:
         """Take a daemon's question or word, or an answer."""
         if self._asking.take(daemon, message):
             return
--- a/packages/daemon/src/knapweedbridge_daemon/serving/plain_greeting.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/plain_greeting.py
@@ -22,10 +22,10 @@
 UNDERSTOOD = PlainLoadResponse("", NO_TICKET, 0, 0.0, 0.0)
 """Answer to the greeting."""
 
-OfPlain = PlainLoadRequest | PlainLoadResponse | PlainLoadReport | PermitResponse
+PlainMessage = PlainLoadRequest | PlainLoadResponse | PlainLoadReport | PermitResponse
 
 
-def is_of_plain(message: object) -> TypeGuard[OfPlain]:
+def is_of_plain(message: object) -> TypeGuard[PlainMessage]:
     """Tell whether a message is about plain requests, or a greeting."""
     is_new = isinstance(message, PlainLoadRequest | PlainLoadResponse | PlainLoadReport)
     return is_new or message == GREETING
