--- a/bench/peer_messages.py
+++ b/bench/peer_messages.py
@@ -53,7 +53,7 @@
 )
 from knapweedbridge_daemon.peer_sockets import PeerListener
 from knapweedbridge_daemon.peers import Peers
-from knapweedbridge_daemon.serving.engine_owning import EngineOwner
+from knapweedbridge_daemon.serving.engine_owner import EngineOwner
 from knapweedbridge_daemon.serving.hub import Hub, Identity
 from knapweedbridge_daemon.serving.lease_keeping import LeaseKeeper
 from knapweedbridge_daemon.serving.measures import Measures
--- a/packages/daemon/src/knapweedbridge_daemon/serving/engine_owners.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/engine_owners.py
@@ -15,7 +15,7 @@
 )
 from knapweedbridge_core.serving.ownership import OwnerRecord
 from knapweedbridge_daemon.serving.backpressure_recorder import BackpressureRecorder
-from knapweedbridge_daemon.serving.engine_owning import (
+from knapweedbridge_daemon.serving.engine_owner import (
     ORDER_TIMEOUT_S,
     WORK_S,
     EngineOwner,
--- a/packages/daemon/src/knapweedbridge_daemon/serving/lease_keeping.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/lease_keeping.py
@@ -14,7 +14,7 @@
     may_claim,
 )
 from knapweedbridge_daemon.errors import StoreError
-from knapweedbridge_daemon.serving.engine_owning import ORDER_TIMEOUT_S
+from knapweedbridge_daemon.serving.engine_owner import ORDER_TIMEOUT_S
 from knapweedbridge_daemon.serving.hub import Hub, suspended_clock_s
 from knapweedbridge_daemon.serving.lost_links import (
     LostLinks,
--- a/packages/standins/src/knapweedbridge_standins/serving_load/owner.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_load/owner.py
@@ -21,7 +21,7 @@
     IDLE_UPDATE_INTERVAL_S,
     LOAD_UPDATE_INTERVAL_S,
 )
-from knapweedbridge_daemon.serving.engine_owning import REPORT_PAUSE_S
+from knapweedbridge_daemon.serving.engine_owner import REPORT_PAUSE_S
 from knapweedbridge_standins.serving_load.call import WAY_S
 
 if TYPE_CHECKING:
