--- a/packages/daemon/src/knapweedbridge_daemon/serving/attempting.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/attempting.py
@@ -25,7 +25,7 @@
     NotSentError,
 )
 from knapweedbridge_daemon.serving.hub import Hub
-from knapweedbridge_daemon.serving.patience import NotBegunError, Patience
+from knapweedbridge_daemon.serving.patience import FirstByteTimeout, NotBegunError
 from knapweedbridge_daemon.serving.peer_link import PeerLink
 from knapweedbridge_daemon.serving.wire import (
     RequestHead,
@@ -146,10 +146,14 @@
             self._link.running.prompt_read(endpoint, call.unread_tokens)
             call.unread_tokens = 0
 
-    def _patience(self, call: Call, target: Target, forecast: Forecast) -> Patience:
+    def _patience(
+        self, call: Call, target: Target, forecast: Forecast
+    ) -> FirstByteTimeout:
         version = forecast.held_version
         model = None if version is None else call.details.model
-        return Patience(model, version or 0, self._patient_until_s(call, target))
+        return FirstByteTimeout(
+            model, version or 0, self._patient_until_s(call, target)
+        )
 
     def _patient_until_s(self, call: Call, target: Target) -> float:
         others_left = len(call.progress.runs) + 1 < call.route.max_attempts
@@ -165,7 +169,7 @@
         self,
         call: Call,
         target: Target,
-        patience: Patience,
+        patience: FirstByteTimeout,
         forecast: Forecast,
     ) -> AttemptEnd:
         head = self._attempt_head(call, target)
@@ -288,7 +292,7 @@
         endpoint: Endpoint,
         connection: ClientConnection,
         answer: ResponseHead,
-        patience: Patience,
+        patience: FirstByteTimeout,
         forecast: Forecast,
     ) -> AttemptEnd:
         resumed = call.progress.begun
--- a/packages/daemon/src/knapweedbridge_daemon/serving/patience.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/patience.py
@@ -20,7 +20,7 @@
     """An attempt was given up as it had not begun; it may run all the same."""
 
 
-class Patience:
+class FirstByteTimeout:
     """The patience with one attempt until its first event, or its answer's head.
 
     Parameters
@@ -73,10 +73,10 @@
     def __init__(self, cluster: ClusterState, steady_s: Callable[[], float]) -> None:
         self._beliefs = cluster
         self._steady_s = steady_s
-        self._waiting: dict[ModelRef, set[Patience]] = defaultdict(set)
+        self._waiting: dict[ModelRef, set[FirstByteTimeout]] = defaultdict(set)
 
     @contextmanager
-    def waiting(self, patience: Patience) -> Iterator[None]:
+    def waiting(self, patience: FirstByteTimeout) -> Iterator[None]:
         """Run an attempt with patience; raises NotBegunError where that has ended."""
         if patience.model is not None:
             self._waiting[patience.model].add(patience)
@@ -89,7 +89,7 @@
         if patience.scope.cancelled_caught:
             raise patience.error()
 
-    def begun(self, patience: Patience) -> None:
+    def begun(self, patience: FirstByteTimeout) -> None:
         """Take that an attempt has begun; raises NotBegunError if that is too late."""
         if patience.scope.cancel_called:
             # The answer came as patience ended. The next wait is cancelled, which
@@ -104,13 +104,13 @@
         for patience in self._waiting.get(model, ()):
             self._bound(model, patience)
 
-    def _bound(self, model: ModelRef, patience: Patience) -> None:
+    def _bound(self, model: ModelRef, patience: FirstByteTimeout) -> None:
         until_s = self._beliefs.begins_until_s(model, patience.version)
         if until_s < math.inf:
             left_s = until_s - self._steady_s()
             patience.bound(loop_time_s() + left_s - WITHDRAWN_S)
 
-    def _forget(self, patience: Patience) -> None:
+    def _forget(self, patience: FirstByteTimeout) -> None:
         waiting = self._waiting.get(patience.model) if patience.model else None
         if waiting is None:
             return
