--- a/packages/core/src/knapweedbridge_core/bridge.py
+++ b/packages/core/src/knapweedbridge_core/bridge.py
@@ -21,7 +21,7 @@
 from knapweedbridge_core.members import Members
 from knapweedbridge_core.operator_side import OperatorSide
 from knapweedbridge_core.order_side import OrderSide
-from knapweedbridge_core.owned_endpoints import Estate
+from knapweedbridge_core.owned_endpoints import OwnedEndpoints
 from knapweedbridge_core.owner_side import OwnerSide
 from knapweedbridge_core.request_side import RequestSide
 from knapweedbridge_core.view import View
@@ -53,7 +53,7 @@
         self._context = Context(host, data_centre, incarnation, timing or Timing())
         claimant = ClaimantSide(self._context)
         self.requests = RequestSide(self._context, claimant)
-        estate = Estate(self._context)
+        estate = OwnedEndpoints(self._context)
         self.holder = HolderSide(self._context)
         self.owner = OwnerSide(self._context, estate)
         self.grants = GrantSide(self._context, estate)
--- a/packages/core/src/knapweedbridge_core/grant_side.py
+++ b/packages/core/src/knapweedbridge_core/grant_side.py
@@ -9,7 +9,7 @@
 from knapweedbridge_core.grant_admission import GrantAdmission
 from knapweedbridge_core.leases import LIVENESS_PREFIX
 from knapweedbridge_core.outcomes import Reason
-from knapweedbridge_core.owned_endpoints import Estate, OwnedEndpointsSide
+from knapweedbridge_core.owned_endpoints import OwnedEndpoints, OwnedEndpointsSide
 from knapweedbridge_core.tenure import Tenure
 from knapweedbridge_core.times import (
     RECONCILE_INTERVAL_S,
@@ -47,7 +47,7 @@
         The endpoints that this daemon owns.
     """
 
-    def __init__(self, context: Context, estate: Estate) -> None:
+    def __init__(self, context: Context, estate: OwnedEndpoints) -> None:
         super().__init__(context, estate)
         self._admission = GrantAdmission(context)
         self._requests: dict[_RequestKey, _HolderRequest] = {}
--- a/packages/core/src/knapweedbridge_core/order_side.py
+++ b/packages/core/src/knapweedbridge_core/order_side.py
@@ -6,7 +6,7 @@
 from knapweedbridge_core.actions import OrderEndpoint
 from knapweedbridge_core.context import Context, Handler
 from knapweedbridge_core.names import AdapterVersion
-from knapweedbridge_core.owned_endpoints import Estate, OwnedEndpointsSide
+from knapweedbridge_core.owned_endpoints import OwnedEndpoints, OwnedEndpointsSide
 from knapweedbridge_core.tenure import Tenure
 from knapweedbridge_core.times import WITNESS_TIMEOUT_S
 
@@ -16,7 +16,7 @@
 class OrderSide(OwnedEndpointsSide):
     """Carries out placed loads on the owned endpoints."""
 
-    def __init__(self, context: Context, estate: Estate) -> None:
+    def __init__(self, context: Context, estate: OwnedEndpoints) -> None:
         super().__init__(context, estate)
         self._placed: dict[tuple[str, AdapterVersion], messages.LoadPlaced] = {}
 
--- a/packages/core/src/knapweedbridge_core/owned_endpoints.py
+++ b/packages/core/src/knapweedbridge_core/owned_endpoints.py
@@ -12,7 +12,7 @@
 """Others of whom most must be heard; a greater pool has as many neighbours."""
 
 
-class Estate:
+class OwnedEndpoints:
     """Lease, claims and tenures, and what they allow now.
 
     Parameters
@@ -137,6 +137,6 @@
         What it shares with the owner's other sides.
     """
 
-    def __init__(self, context: Context, estate: Estate) -> None:
+    def __init__(self, context: Context, estate: OwnedEndpoints) -> None:
         super().__init__(context)
         self._estate = estate
--- a/packages/core/src/knapweedbridge_core/owner_side.py
+++ b/packages/core/src/knapweedbridge_core/owner_side.py
@@ -9,7 +9,7 @@
 from knapweedbridge_core.configuration import EndpointEntry
 from knapweedbridge_core.context import Context, Handler
 from knapweedbridge_core.ledger import Ledger
-from knapweedbridge_core.owned_endpoints import Estate, OwnedEndpointsSide
+from knapweedbridge_core.owned_endpoints import OwnedEndpoints, OwnedEndpointsSide
 from knapweedbridge_core.owners import (
     Claimed,
     HandedOver,
@@ -39,7 +39,7 @@
         The endpoints that this daemon owns.
     """
 
-    def __init__(self, context: Context, estate: Estate) -> None:
+    def __init__(self, context: Context, estate: OwnedEndpoints) -> None:
         super().__init__(context, estate)
         self._change_handlers: dict[type, Callable[[Any], None]] = {
             Claimed: self._claimed,
