--- a/features/listing/steps/removed_entry_steps.py
+++ b/features/listing/steps/removed_entry_steps.py
@@ -13,7 +13,7 @@
     StoreOutage,
 )
 from knapweedbridge_core.serving.cluster_state import DaemonNamed
-from knapweedbridge_daemon.serving.side_faces import SideFaces
+from knapweedbridge_daemon.serving.side_faces import AdminHandlers
 from knapweedbridge_standins.relay_pool import RelayPool
 from knapweedbridge_standins.serving_histories import HISTORIES
 from knapweedbridge_standins.virtual_loop import run_virtually
@@ -108,7 +108,7 @@
 
 
 def unlisted_in_use(daemon):
-    return SideFaces(daemon.hub).gauges()["endpoints_unlisted"]
+    return AdminHandlers(daemon.hub).gauges()["endpoints_unlisted"]
 
 
 @when("an entry is removed while the store is healthy")
--- a/packages/daemon/src/knapweedbridge_daemon/serving/host.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/host.py
@@ -33,7 +33,7 @@
 from knapweedbridge_daemon.serving.peer_link import PeerLink
 from knapweedbridge_daemon.serving.refusal_records import RefusalRecords
 from knapweedbridge_daemon.serving.settings import ServingSettings
-from knapweedbridge_daemon.serving.side_faces import SideFaces
+from knapweedbridge_daemon.serving.side_faces import AdminHandlers
 from knapweedbridge_daemon.serving.software_records import SoftwareRecords
 from knapweedbridge_daemon.serving.store_follower import StoreFollower
 from knapweedbridge_daemon.serving.store_marks import StoreMarks
@@ -192,7 +192,7 @@
     async def _listen(
         self, callers: TaskGroup, hub: Hub, face: HttpServer, app: CallersApp
     ) -> None:
-        side = SideFaces(hub)
+        side = AdminHandlers(hub)
         counts = app.count_bad, app.count_fault
         ready = HttpServer(side.ready, side.limits, *counts)
         metrics = HttpServer(side.metrics, side.limits, *counts)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/side_faces.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/side_faces.py
@@ -7,7 +7,7 @@
 from knapweedbridge_daemon.serving.hub import Hub
 
 
-class SideFaces:
+class AdminHandlers:
     """Answers the balancer's question, and serves counters.
 
     Parameters
