--- a/features/plain/steps/counting_steps.py
+++ b/features/plain/steps/counting_steps.py
@@ -14,7 +14,7 @@
 from knapweedbridge_core.serving.cluster_state import EndpointNamed
 from knapweedbridge_core.serving.permit_messages import PermitResponse
 from knapweedbridge_daemon.serving.plain_counters import load_coordinator
-from knapweedbridge_daemon.serving.plain_greeting import is_of_plain
+from knapweedbridge_daemon.serving.plain_greeting import is_plain_message
 from knapweedbridge_standins.relay_pool import RelayPool
 from knapweedbridge_standins.virtual_loop import run_virtually
 
@@ -61,7 +61,7 @@
     send = pool.wire.send
 
     def counted(sender, hearer, message):
-        if is_of_plain(message):
+        if is_plain_message(message):
             context.sent += 1
             message = decode(msgpack.unpackb(encode(message)))
         send(sender, hearer, message)
@@ -165,7 +165,7 @@
         if isinstance(message, PermitResponse):
             await daemon.link.permits.handle(sender, message)
             return
-        assert not is_of_plain(message), "its stream would end"
+        assert not is_plain_message(message), "its stream would end"
         await take(sender, message)
 
     pool.wire.hear(keeper, take_older)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
@@ -29,7 +29,7 @@
 from knapweedbridge_daemon.serving.hub import Hub
 from knapweedbridge_daemon.serving.permits import PermitMessage, Permits
 from knapweedbridge_daemon.serving.plain_counting import PlainCounts
-from knapweedbridge_daemon.serving.plain_greeting import PlainMessage, is_of_plain
+from knapweedbridge_daemon.serving.plain_greeting import PlainMessage, is_plain_message
 from knapweedbridge_daemon.serving.quota_shares import QuotaShares
 from knapweedbridge_daemon.serving.running_calls import RunningCalls
 from knapweedbridge_daemon.serving.store_update_codec import unpack_engines
@@ -225,7 +225,7 @@
     async def _take_of_calls(
         self, daemon: str, message: PlainMessage | PermitMessage
     ) -> None:
-        if is_of_plain(message):
+        if is_plain_message(message):
             await self.plain.handle(daemon, message)
         elif isinstance(message, PermitMessage):
             await self.permits.handle(daemon, message)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/plain_greeting.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/plain_greeting.py
@@ -25,7 +25,7 @@
 PlainMessage = PlainLoadRequest | PlainLoadResponse | PlainLoadReport | PermitResponse
 
 
-def is_of_plain(message: object) -> TypeGuard[PlainMessage]:
+def is_plain_message(message: object) -> TypeGuard[PlainMessage]:
     """Tell whether a message is about plain requests, or a greeting."""
     is_new = isinstance(message, PlainLoadRequest | PlainLoadResponse | PlainLoadReport)
     return is_new or message == GREETING
