--- a/features/speeds/steps/learning_steps.py
+++ b/features/speeds/steps/learning_steps.py
@@ -17,9 +17,9 @@
     SpeedReports,
 )
 from knapweedbridge_daemon.serving.engine_observations import EngineObservations
-from knapweedbridge_daemon.serving.engine_speeds import SpeedKeeping
 from knapweedbridge_daemon.serving.measures import Measures
 from knapweedbridge_daemon.serving.running_calls import RunningCalls
+from knapweedbridge_daemon.serving.speed_tracker import SpeedKeeping
 
 NOW_S = 100.0
 
--- a/packages/daemon/src/knapweedbridge_daemon/serving/engine_owner.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/engine_owner.py
@@ -30,7 +30,6 @@
 from knapweedbridge_core.serving.prompt_pacing import LEAST_PAUSE_S
 from knapweedbridge_daemon.serving.backpressure_recorder import BackpressureRecorder
 from knapweedbridge_daemon.serving.dialects import DialectError
-from knapweedbridge_daemon.serving.engine_speeds import SpeedKeeping
 from knapweedbridge_daemon.serving.http_client import (
     BrokenError,
     Destination,
@@ -38,6 +37,7 @@
 )
 from knapweedbridge_daemon.serving.hub import Hub, Send, suspended_clock_s
 from knapweedbridge_daemon.serving.permits import Permits
+from knapweedbridge_daemon.serving.speed_tracker import SpeedKeeping
 from knapweedbridge_daemon.serving.turn_giving import TurnGiver
 from knapweedbridge_daemon.serving.wake import Wake
 from knapweedbridge_daemon.serving.wire import ResponseHead, WireRequest
