--- a/packages/daemon/src/knapweedbridge_daemon/serving/attempting.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/attempting.py
@@ -25,7 +25,10 @@
     NotSentError,
 )
 from knapweedbridge_daemon.serving.hub import Hub
-from knapweedbridge_daemon.serving.patience import FirstByteTimeout, NotBegunError
+from knapweedbridge_daemon.serving.patience import (
+    FirstByteTimeout,
+    FirstByteTimeoutError,
+)
 from knapweedbridge_daemon.serving.peer_link import PeerLink
 from knapweedbridge_daemon.serving.wire import (
     RequestHead,
@@ -99,7 +102,7 @@
         except (BrokenError, BrokenEventsError) as error:
             end, detail = AttemptEnd.BROKEN, str(error)
             call.progress.runs.add(endpoint.name)
-            is_closed = not isinstance(error, NotBegunError)
+            is_closed = not isinstance(error, FirstByteTimeoutError)
         finally:
             if end is AttemptEnd.ABANDONED:
                 # Broken off by its caller or by a deadline, it may run all the same.
--- a/packages/daemon/src/knapweedbridge_daemon/serving/patience.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/patience.py
@@ -16,7 +16,7 @@
 be closed at the engine by then."""
 
 
-class NotBegunError(BrokenError):
+class FirstByteTimeoutError(BrokenError):
     """An attempt was given up as it had not begun; it may run all the same."""
 
 
@@ -48,10 +48,10 @@
         self.withdrawn_s = withdrawn_s
         self.scope.deadline = min(self.scope.deadline, withdrawn_s)
 
-    def error(self) -> NotBegunError:
+    def error(self) -> FirstByteTimeoutError:
         """Return the error of an attempt that has been given up."""
         is_superseded = loop_time_s() >= self.withdrawn_s
-        return NotBegunError("superseded" if is_superseded else "silent")
+        return FirstByteTimeoutError("superseded" if is_superseded else "silent")
 
 
 class FirstByteTimeouts:
@@ -77,7 +77,7 @@
 
     @contextmanager
     def waiting(self, patience: FirstByteTimeout) -> Iterator[None]:
-        """Run an attempt with patience; raises NotBegunError where that has ended."""
+        """Run an attempt with patience; raises FirstByteTimeoutError where that has ended."""
         if patience.model is not None:
             self._waiting[patience.model].add(patience)
             self._bound(patience.model, patience)
@@ -90,7 +90,7 @@
             raise patience.error()
 
     def begun(self, patience: FirstByteTimeout) -> None:
-        """Take that an attempt has begun; raises NotBegunError if that is too late."""
+        """Take that an attempt has begun; raises FirstByteTimeoutError if that is too late."""
         if patience.scope.cancel_called:
             # The answer came as patience ended. The next wait is cancelled, which
             # would leave the caller's answer begun and unwritten: its connection is
