--- a/packages/core/src/knapweedbridge_core/grant_side.py
+++ b/packages/core/src/knapweedbridge_core/grant_side.py
@@ -43,12 +43,12 @@
     ----------
     context : Context
         State shared with the other sides.
-    estate : Estate
+    owned : Estate
         The endpoints that this daemon owns.
     """
 
-    def __init__(self, context: Context, estate: OwnedEndpoints) -> None:
-        super().__init__(context, estate)
+    def __init__(self, context: Context, owned: OwnedEndpoints) -> None:
+        super().__init__(context, owned)
         self._admission = GrantAdmission(context)
         self._requests: dict[_RequestKey, _HolderRequest] = {}
         self._polled_s: dict[str, float] = {}
--- a/packages/core/src/knapweedbridge_core/order_side.py
+++ b/packages/core/src/knapweedbridge_core/order_side.py
@@ -16,8 +16,8 @@
 class OrderSide(OwnedEndpointsSide):
     """Carries out placed loads on the owned endpoints."""
 
-    def __init__(self, context: Context, estate: OwnedEndpoints) -> None:
-        super().__init__(context, estate)
+    def __init__(self, context: Context, owned: OwnedEndpoints) -> None:
+        super().__init__(context, owned)
         self._placed: dict[tuple[str, AdapterVersion], messages.LoadPlaced] = {}
 
     def handlers(self) -> dict[type, Handler]:
--- a/packages/core/src/knapweedbridge_core/owned_endpoints.py
+++ b/packages/core/src/knapweedbridge_core/owned_endpoints.py
@@ -133,10 +133,10 @@
     ----------
     context : Context
         What it shares with the other sides.
-    estate : Estate
+    owned : Estate
         What it shares with the owner's other sides.
     """
 
-    def __init__(self, context: Context, estate: OwnedEndpoints) -> None:
+    def __init__(self, context: Context, owned: OwnedEndpoints) -> None:
         super().__init__(context)
-        self._estate = estate
+        self._estate = owned
--- a/packages/core/src/knapweedbridge_core/owner_side.py
+++ b/packages/core/src/knapweedbridge_core/owner_side.py
@@ -35,12 +35,12 @@
     ----------
     context : Context
         State shared with the other sides.
-    estate : Estate
+    owned : Estate
         The endpoints that this daemon owns.
     """
 
-    def __init__(self, context: Context, estate: OwnedEndpoints) -> None:
-        super().__init__(context, estate)
+    def __init__(self, context: Context, owned: OwnedEndpoints) -> None:
+        super().__init__(context, owned)
         self._change_handlers: dict[type, Callable[[Any], None]] = {
             Claimed: self._claimed,
             Lost: self._lost,
