--- a/features/listing/steps/removed_entry_steps.py
+++ b/features/listing/steps/removed_entry_steps.py
@@ -13,7 +13,7 @@
     StoreOutage,
 )
 from knapweedbridge_core.serving.cluster_state import DaemonNamed
-from knapweedbridge_daemon.serving.side_faces import AdminHandlers
+from knapweedbridge_daemon.serving.admin_handlers import AdminHandlers
 from knapweedbridge_standins.relay_pool import RelayPool
 from knapweedbridge_standins.serving_histories import HISTORIES
 from knapweedbridge_standins.virtual_loop import run_virtually
--- a/packages/daemon/src/knapweedbridge_daemon/serving/host.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/host.py
@@ -18,6 +18,7 @@
     RetryBudget,
     StoreOutage,
 )
+from knapweedbridge_daemon.serving.admin_handlers import AdminHandlers
 from knapweedbridge_daemon.serving.callers_app import CallersApp
 from knapweedbridge_daemon.serving.calls import CallRunner
 from knapweedbridge_daemon.serving.decision_log import DecisionLog
@@ -33,7 +34,6 @@
 from knapweedbridge_daemon.serving.peer_link import PeerLink
 from knapweedbridge_daemon.serving.refusal_records import RefusalRecords
 from knapweedbridge_daemon.serving.settings import ServingSettings
-from knapweedbridge_daemon.serving.side_faces import AdminHandlers
 from knapweedbridge_daemon.serving.software_records import SoftwareRecords
 from knapweedbridge_daemon.serving.store_follower import StoreFollower
 from knapweedbridge_daemon.serving.store_marks import StoreMarks
