--- a/packages/daemon/src/knapweedbridge_daemon/serving/plain_asking.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/plain_asking.py
@@ -14,8 +14,8 @@
 from knapweedbridge_daemon.serving.hub import Hub, Send
 from knapweedbridge_daemon.serving.plain_counters import load_coordinator
 from knapweedbridge_daemon.serving.plain_greeting import (
-    GREETING,
     NO_TICKET,
+    VERSION_PROBE,
     PlainMessage,
 )
 
@@ -126,7 +126,7 @@
         if self.understands(keeper):
             return True
         self._asked_not_before_s[keeper] = now_s + SILENT_S
-        await self._send(keeper, GREETING)
+        await self._send(keeper, VERSION_PROBE)
         # One that is this daemon has answered by now.
         return self.understands(keeper)
 
--- a/packages/daemon/src/knapweedbridge_daemon/serving/plain_greeting.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/plain_greeting.py
@@ -17,7 +17,7 @@
 NO_TICKET = 0
 """Questions for permits are numbered from 1."""
 
-GREETING = PermitResponse("", NO_TICKET, 0.0)
+VERSION_PROBE = PermitResponse("", NO_TICKET, 0.0)
 
 UNDERSTOOD = PlainLoadResponse("", NO_TICKET, 0, 0.0, 0.0)
 """Answer to the greeting."""
@@ -28,4 +28,4 @@
 def is_plain_message(message: object) -> TypeGuard[PlainMessage]:
     """Tell whether a message is about plain requests, or a greeting."""
     is_new = isinstance(message, PlainLoadRequest | PlainLoadResponse | PlainLoadReport)
-    return is_new or message == GREETING
+    return is_new or message == VERSION_PROBE
