--- a/features/speeds/steps/learning_steps.py
+++ b/features/speeds/steps/learning_steps.py
@@ -19,7 +19,7 @@
 from knapweedbridge_daemon.serving.engine_observations import EngineObservations
 from knapweedbridge_daemon.serving.measures import Measures
 from knapweedbridge_daemon.serving.running_calls import RunningCalls
-from knapweedbridge_daemon.serving.speed_tracker import SpeedKeeping
+from knapweedbridge_daemon.serving.speed_tracker import SpeedTracker
 
 NOW_S = 100.0
 
@@ -215,7 +215,7 @@
     context.hub = make_hub(learn == "yes")
     endpoint = context.hub.cluster.fleet.endpoints["e1"]
     context.keeper = EngineController(EngineLimits(12, 10**6, 8, 1e5, 10.0))
-    speeds = SpeedKeeping(context.hub, endpoint, context.keeper)
+    speeds = SpeedTracker(context.hub, endpoint, context.keeper)
     sent = anyio.run(reported, context.hub, s, gap)
     assert [daemon for daemon, _ in sent] == ["h1"], sent
     for number in range(6):
--- a/packages/daemon/src/knapweedbridge_daemon/serving/speed_tracker.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/speed_tracker.py
@@ -11,7 +11,7 @@
 """Pause between looks at the speed for the log: an estimate takes 50 us."""
 
 
-class SpeedKeeping:
+class SpeedTracker:
     """Feeds an engine's speed with what daemons report, if speeds are learnt.
 
     Parameters
