--- a/packages/daemon/src/knapweedbridge_daemon/serving/patience.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/patience.py
@@ -11,7 +11,7 @@
 from knapweedbridge_daemon.serving.clock import loop_time_s
 from knapweedbridge_daemon.serving.http_client import BrokenError
 
-WITHDRAWN_S = 0.25
+WITHDRAWAL_MARGIN_S = 0.25
 """Time before the operators' bound at which an attempt is given up: its connection must
 be closed at the engine by then."""
 
@@ -108,7 +108,7 @@
         until_s = self._beliefs.begins_until_s(model, patience.version)
         if until_s < math.inf:
             left_s = until_s - self._steady_s()
-            patience.bound(loop_time_s() + left_s - WITHDRAWN_S)
+            patience.bound(loop_time_s() + left_s - WITHDRAWAL_MARGIN_S)
 
     def _forget(self, patience: FirstByteTimeout) -> None:
         waiting = self._waiting.get(patience.model) if patience.model else None
--- a/packages/standins/src/knapweedbridge_standins/serving_histories/versions.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_histories/versions.py
@@ -18,7 +18,7 @@
 )
 from knapweedbridge_core.serving.cluster_state import VersionNamed
 from knapweedbridge_core.serving.endpoint import HeldAdapter
-from knapweedbridge_daemon.serving.patience import WITHDRAWN_S
+from knapweedbridge_daemon.serving.patience import WITHDRAWAL_MARGIN_S
 
 DAEMONS = 4
 ENGINES = 5
@@ -182,7 +182,7 @@
             if run.daemon not in self._daemons:
                 # Its connections were closed as the daemon ended.
                 continue
-            if until_s - WITHDRAWN_S <= min(run.begins_s, self._now_s):
+            if until_s - WITHDRAWAL_MARGIN_S <= min(run.begins_s, self._now_s):
                 if run.is_older:
                     self._break(run, "sent to an older version, is given up")
             elif run.begins_s <= self._now_s:
@@ -192,7 +192,7 @@
 
     def _waits(self, run: _Run) -> bool:
         until_s = run.daemon.cluster.begins_until_s(MODEL, run.version)
-        ends_s = min(run.begins_s, until_s - WITHDRAWN_S)
+        ends_s = min(run.begins_s, until_s - WITHDRAWAL_MARGIN_S)
         return run.daemon in self._daemons and ends_s > self._now_s
 
     def _check(self, run: _Run) -> None:
