--- a/packages/core/src/knapweedbridge_core/grant_side.py
+++ b/packages/core/src/knapweedbridge_core/grant_side.py
@@ -64,7 +64,7 @@
         }
 
     def _grant_request(self, message: messages.GrantRequest) -> None:
-        tenure = self._estate.tenures.get(message.endpoint)
+        tenure = self._owned.tenures.get(message.endpoint)
         sender, now_s = self._context.sender, self._context.now_s
         refusal = self._admission.refusal(message, now_s)
         if refusal is not None:
@@ -72,7 +72,7 @@
             return
         if (
             tenure is not None
-            and self._estate.may_grant(tenure, message.model)
+            and self._owned.may_grant(tenure, message.model)
             and tenure.ledger.grant(message.model, message.attempt_id, sender, now_s)
         ):
             self._record_grant("grant.given", message)
@@ -99,13 +99,13 @@
         )
 
     def _grant_returned(self, message: messages.GrantReturned) -> None:
-        tenure = self._estate.tenures.get(message.endpoint)
+        tenure = self._owned.tenures.get(message.endpoint)
         self._admission.leave(message)
         if tenure is not None:
             tenure.ledger.release(message.model, message.attempt_id)
 
     def _grants_held(self, message: messages.HeldGrants) -> None:
-        tenure = self._estate.tenures.get(message.endpoint)
+        tenure = self._owned.tenures.get(message.endpoint)
         host, now_s = self._context.sender, self._context.now_s
         if tenure is None or tenure.number != message.number:
             return
@@ -128,7 +128,7 @@
         alive = {peer.name for peer in self._context.members.peers()}
         alive.add(self._context.host)
         silent: set[str] = set()
-        for tenure in self._estate.tenures.values():
+        for tenure in self._owned.tenures.values():
             silent |= self._request_due(tenure, alive)
         self._requests = {
             key: request
@@ -139,7 +139,7 @@
             self._poll_liveness(host)
 
     def _is_needed(self, key: _RequestKey) -> bool:
-        tenure = self._estate.tenures.get(key.endpoint)
+        tenure = self._owned.tenures.get(key.endpoint)
         if tenure is None or tenure.number != key.number:
             return False
         unheard = key.host in tenure.takeover.unheard
@@ -183,6 +183,6 @@
             return
         self._polled_s.pop(host, None)
         self._context.record("holder.dead", holder=host)
-        for tenure in self._estate.tenures.values():
+        for tenure in self._owned.tenures.values():
             tenure.takeover.unheard.discard(host)
             tenure.ledger.orphan(host, self._context.now_s)
--- a/packages/core/src/knapweedbridge_core/order_side.py
+++ b/packages/core/src/knapweedbridge_core/order_side.py
@@ -32,17 +32,17 @@
 
     def _tick(self, event: events.Tick) -> None:
         for endpoint, model in list(self._placed):
-            if endpoint not in self._estate.tenures:
+            if endpoint not in self._owned.tenures:
                 self._load_over(endpoint, model, False)
-        for tenure in list(self._estate.tenures.values()):
+        for tenure in list(self._owned.tenures.values()):
             self._cancel_unwitnessed(tenure)
             self._evict_condemned(tenure)
 
     def _load_placed(self, message: messages.LoadPlaced) -> None:
         endpoint, model = message.endpoint, message.model
         self._placed[endpoint, model] = message
-        tenure = self._estate.tenures.get(endpoint)
-        if tenure is None or not self._estate.may_load(tenure, model):
+        tenure = self._owned.tenures.get(endpoint)
+        if tenure is None or not self._owned.may_load(tenure, model):
             self._load_over(endpoint, model, False)
         elif model in tenure.ledger.loaded:
             self._load_over(endpoint, model, True)
@@ -53,7 +53,7 @@
             self._begin_load(tenure, model)
 
     def _slot_wanted(self, message: messages.SlotWanted) -> None:
-        tenure = self._estate.tenures.get(message.endpoint)
+        tenure = self._owned.tenures.get(message.endpoint)
         if tenure is None or not self._evict(tenure, message.victim):
             declined = messages.SlotDeclined(message.endpoint, message.victim)
             self._context.send(self._context.sender, declined)
@@ -61,10 +61,10 @@
     def _evict(self, tenure: Tenure, victim: AdapterVersion) -> bool:
         if not tenure.ledger.may_evict(victim):
             return False
-        if not self._estate.may_order_eviction(tenure):
+        if not self._owned.may_order_eviction(tenure):
             return False
         tenure.ledger.begin_eviction(victim)
-        self._estate.publish(tenure)
+        self._owned.publish(tenure)
         witnesses = [] if tenure.checks_fencing else self._witnesses(tenure.endpoint)
         if not witnesses:
             self._order(tenure, "evict", victim)
@@ -81,13 +81,13 @@
         return ranked[-WITNESSES:]
 
     def _eviction_noted(self, message: messages.EvictionIntentAcknowledged) -> None:
-        tenure = self._estate.tenures.get(message.endpoint)
+        tenure = self._owned.tenures.get(message.endpoint)
         own = self._context.sender == self._context.host
         if tenure is None or own or tenure.number != message.number:
             return
         if tenure.announced_evictions.pop(message.model, None) is None:
             return
-        if self._estate.may_order_eviction(tenure):
+        if self._owned.may_order_eviction(tenure):
             self._order(tenure, "evict", message.model)
         else:
             self._cancel(tenure, message.model)
@@ -132,7 +132,7 @@
             return
         weights = self._context.configuration.versions.get(model, str(model))
         timed = kind == "evict" and not tenure.checks_fencing
-        not_after_s = self._estate.lease.valid_until_s if timed else inf
+        not_after_s = self._owned.lease.valid_until_s if timed else inf
         self._context.emit(
             OrderEndpoint(
                 entry.name,
@@ -153,7 +153,7 @@
             model=str(event.model),
             succeeded=event.succeeded,
         )
-        tenure = self._estate.tenures.get(event.endpoint)
+        tenure = self._owned.tenures.get(event.endpoint)
         if tenure is None:
             self._load_over(event.endpoint, event.model, False)
         elif not event.known:
@@ -179,7 +179,7 @@
         now_s = self._context.now_s
         tenure.ledger.end_load(event.model, event.succeeded, now_s)
         self._load_over(event.endpoint, event.model, event.succeeded)
-        self._estate.publish(tenure)
+        self._owned.publish(tenure)
 
     def _eviction_ended(self, tenure: Tenure, event: events.OrderEnded) -> None:
         now_s = self._context.now_s
@@ -190,7 +190,7 @@
                 self._load_over(event.endpoint, placed.model, False)
             else:
                 self._begin_load(tenure, placed.model)
-        self._estate.publish(tenure)
+        self._owned.publish(tenure)
 
     def _placed_for(
         self, endpoint: str, victim: AdapterVersion
--- a/packages/core/src/knapweedbridge_core/owned_endpoints.py
+++ b/packages/core/src/knapweedbridge_core/owned_endpoints.py
@@ -139,4 +139,4 @@
 
     def __init__(self, context: Context, owned: OwnedEndpoints) -> None:
         super().__init__(context)
-        self._estate = owned
+        self._owned = owned
--- a/packages/core/src/knapweedbridge_core/owner_side.py
+++ b/packages/core/src/knapweedbridge_core/owner_side.py
@@ -50,12 +50,12 @@
     @property
     def owners(self) -> Owners:
         """Claims of this daemon to endpoints."""
-        return self._estate.owners
+        return self._owned.owners
 
     @property
     def tenures(self) -> dict[str, Tenure]:
         """State of the endpoints that this daemon owns."""
-        return self._estate.tenures
+        return self._owned.tenures
 
     def handlers(self) -> dict[type, Handler]:
         """See `Side.handlers`."""
@@ -73,8 +73,8 @@
         }
 
     def _tick(self, event: events.Tick) -> None:
-        self._estate.tick()
-        for action in self._estate.lease.tick(self._context.now_s):
+        self._owned.tick()
+        for action in self._owned.lease.tick(self._context.now_s):
             self._context.emit(action)
         self._claim()
         for entry in self._context.engines():
@@ -103,7 +103,7 @@
     def _hand_over_if_due(self, entry: EndpointEntry, tenure: Tenure) -> None:
         successor = self.owners.computed_owner(entry)
         elsewhere = successor not in (None, self._context.host)
-        tenure.closing = elsewhere and self._estate.lease.is_valid(self._context.now_s)
+        tenure.closing = elsewhere and self._owned.lease.is_valid(self._context.now_s)
         settled = tenure.takeover.may_evict(self._context.now_s) and tenure.ready
         quiet = tenure.ledger.is_quiet and not tenure.announced_evictions
         if not tenure.closing or not settled or not quiet or successor is None:
@@ -119,10 +119,10 @@
     def _store_response(self, event: events.StoreResponse) -> None:
         now_s = self._context.now_s
         if event.token.startswith("lease:"):
-            before = self._estate.lease.epoch
-            for action in self._estate.lease.handle_reply(event, now_s):
+            before = self._owned.lease.epoch
+            for action in self._owned.lease.handle_reply(event, now_s):
                 self._context.emit(action)
-            if self._estate.lease.epoch != before:
+            if self._owned.lease.epoch != before:
                 self._context.record("lease.begun", epoch=before + 1)
                 self._claim()
             return
@@ -213,7 +213,7 @@
         )
         self._claim()
         self._request_report(tenure)
-        self._estate.publish(tenure)
+        self._owned.publish(tenure)
 
     def _endpoint_reported(self, event: events.EndpointReported) -> None:
         tenure = self.tenures.get(event.endpoint)
@@ -223,8 +223,8 @@
         tenure.reported_s = max(tenure.reported_s, event.taken_s)
         tenure.ledger.reported(event.loaded, event.running, event.taken_s, now_s)
         first, tenure.ready = not tenure.ready, True
-        if first or tenure.published != self._estate.grantable(tenure):
-            self._estate.publish(tenure)
+        if first or tenure.published != self._owned.grantable(tenure):
+            self._owned.publish(tenure)
 
     def _request_report(self, tenure: Tenure) -> None:
         now_s = self._context.now_s
@@ -243,11 +243,11 @@
         step = max(2.0, RUNNING_STEP_SHARE * tenure.published_running)
         moved = abs(running - tenure.published_running) >= step
         stale = self._context.now_s - tenure.published_s >= REFRESH_INTERVAL_S
-        if moved or stale or tenure.published != self._estate.grantable(tenure):
-            self._estate.publish(tenure)
+        if moved or stale or tenure.published != self._owned.grantable(tenure):
+            self._owned.publish(tenure)
 
     def _peer_message(self, event: events.PeerMessage) -> None:
-        self._estate.heard(event.host)
+        self._owned.heard(event.host)
 
     def _peer_connected(self, event: events.PeerConnected) -> None:
         for tenure in self.tenures.values():
