--- a/features/plain/steps/memory_steps.py
+++ b/features/plain/steps/memory_steps.py
@@ -5,7 +5,10 @@
 
 from knapweedbridge_core.serving import HeldKind, MemoryBudget
 from knapweedbridge_daemon.serving.held_memory import PIECE_BYTES, HeldMemory
-from knapweedbridge_daemon.serving.http_server import CallerGoneError, ReceivedRequest
+from knapweedbridge_daemon.serving.http_server import (
+    CallerDisconnectedError,
+    ReceivedRequest,
+)
 from knapweedbridge_daemon.serving.measures import Measures
 from knapweedbridge_daemon.serving.wire import RequestHead, ResponseHead
 from knapweedbridge_platform.callers import PlatformCallers
@@ -139,7 +142,7 @@
             try:
                 await held.guard(handle)(request, responder)
                 context.outcome = "ended" if responder.status == 200 else "refused"
-            except CallerGoneError:
+            except CallerDisconnectedError:
                 context.outcome = "disconnected"
             context.took_s = anyio.current_time() - began_s
             tasks.cancel_scope.cancel()
--- a/packages/daemon/src/knapweedbridge_daemon/serving/callers_app.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/callers_app.py
@@ -14,7 +14,7 @@
 from knapweedbridge_daemon.serving.dialects import CallDetails, DialectError, Refusal
 from knapweedbridge_daemon.serving.http_server import (
     BadRequestError,
-    CallerGoneError,
+    CallerDisconnectedError,
     ReceivedRequest,
     Responder,
 )
@@ -189,7 +189,7 @@
                 outcome = await self._runner.run(call)
             if bound.cancelled_caught:
                 outcome = await self._break_off(call)
-        except CallerGoneError:
+        except CallerDisconnectedError:
             raise
         except Exception:
             outcome = "fault"
--- a/packages/daemon/src/knapweedbridge_daemon/serving/held_memory.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/held_memory.py
@@ -10,7 +10,7 @@
 from knapweedbridge_core.serving.memory_budget import RETRY_AFTER_S
 from knapweedbridge_daemon.serving.dialects import Refusal
 from knapweedbridge_daemon.serving.http_server import (
-    CallerGoneError,
+    CallerDisconnectedError,
     Handler,
     ReceivedRequest,
     Responder,
@@ -79,7 +79,7 @@
                 watched = WatchedResponder(responder, self, scope)
                 await handler(request, cast(Responder, watched))
         if scope.cancelled_caught:
-            raise CallerGoneError("read nothing while memory was scarce")
+            raise CallerDisconnectedError("read nothing while memory was scarce")
 
     @contextmanager
     def holding(self, kind: HeldKind, size_bytes: int) -> Iterator[None]:
--- a/packages/daemon/src/knapweedbridge_daemon/serving/http_server.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/http_server.py
@@ -28,7 +28,7 @@
 __all__ = [
     "BadRequestError",
     "CallerConnection",
-    "CallerGoneError",
+    "CallerDisconnectedError",
     "HttpServer",
     "ReceivedRequest",
     "Responder",
@@ -42,7 +42,7 @@
 """Answer to a request that met an error of ours: it may have run."""
 
 
-class CallerGoneError(Exception):
+class CallerDisconnectedError(Exception):
     """The caller's connection is gone."""
 
 
@@ -168,7 +168,7 @@
             self._wire.on_end = scope.cancel
             try:
                 await self._face.handler(request, responder)
-            except CallerGoneError:
+            except CallerDisconnectedError:
                 is_gone = True
             except Exception as error:
                 self._face.count_fault(error)
@@ -183,7 +183,7 @@
     @staticmethod
     async def _answer_fault(responder: Responder) -> None:
         """Answer a request that met an error of ours before any byte was written."""
-        with suppress(CallerGoneError):
+        with suppress(CallerDisconnectedError):
             await responder.answer(FAULT_STATUS, [], b"", close=True)
 
     def pack_head(self, head: ResponseHead) -> bytes:
@@ -199,19 +199,19 @@
         return self._packer.end()
 
     async def write(self, packed: bytes) -> None:
-        """Write encoded bytes; raises CallerGoneError if nobody is there."""
+        """Write encoded bytes; raises CallerDisconnectedError if nobody is there."""
         if not packed:
             return
         try:
             await self._wire.send(packed)
         except OSError as error:
-            raise CallerGoneError(repr(error)) from error
+            raise CallerDisconnectedError(repr(error)) from error
 
     async def _refuse(self, error: BadRequestError) -> None:
         self._face.count_bad(error)
         try:
             await Responder(self).answer(error.status, [], b"", close=True)
-        except CallerGoneError:
+        except CallerDisconnectedError:
             return
         await self._linger()
 
