--- a/packages/daemon/src/knapweedbridge_daemon/serving/plain_counters.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/plain_counters.py
@@ -15,8 +15,8 @@
 )
 from knapweedbridge_daemon.serving.hub import Hub, Send
 from knapweedbridge_daemon.serving.plain_greeting import (
-    UNDERSTOOD,
     VERSION_PROBE,
+    VERSION_PROBE_ANSWER,
     PlainMessage,
 )
 
@@ -46,7 +46,7 @@
     async def handle(self, daemon: str, message: PlainMessage) -> None:
         """Take a daemon's greeting, question or word of what it runs."""
         if message == VERSION_PROBE:
-            await self._send(daemon, UNDERSTOOD)
+            await self._send(daemon, VERSION_PROBE_ANSWER)
         elif isinstance(message, PlainLoadRequest | PlainLoadReport):
             endpoint = self._endpoint_of(message)
             if endpoint is not None:
--- a/packages/daemon/src/knapweedbridge_daemon/serving/plain_greeting.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/plain_greeting.py
@@ -19,7 +19,7 @@
 
 VERSION_PROBE = PermitResponse("", NO_TICKET, 0.0)
 
-UNDERSTOOD = PlainLoadResponse("", NO_TICKET, 0, 0.0, 0.0)
+VERSION_PROBE_ANSWER = PlainLoadResponse("", NO_TICKET, 0, 0.0, 0.0)
 """Answer to the greeting."""
 
 PlainMessage = PlainLoadRequest | PlainLoadResponse | PlainLoadReport | PermitResponse
