--- a/features/serving/steps/kept_view_steps.py
+++ b/features/serving/steps/kept_view_steps.py
@@ -31,7 +31,7 @@
 from knapweedbridge_core.serving.engine_calls import CALLS_MAX_AGE_S, EngineCalls
 from knapweedbridge_core.serving.messages import CallsReport, EngineTold
 from knapweedbridge_daemon.serving.engine_owner import EngineOwner
-from knapweedbridge_daemon.serving.lease_keeping import LeaseKeeper
+from knapweedbridge_daemon.serving.lease_controller import LeaseKeeper
 from knapweedbridge_daemon.serving.measures import Measures
 
 LIMITS = EngineLimits(8, 10_000, 4, 1000.0, 1.0)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/host.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/host.py
@@ -29,7 +29,7 @@
 from knapweedbridge_daemon.serving.http_server import HttpServer
 from knapweedbridge_daemon.serving.hub import Hub, Identity
 from knapweedbridge_daemon.serving.lapse_check import LapseCheck
-from knapweedbridge_daemon.serving.lease_keeping import LeaseKeeper
+from knapweedbridge_daemon.serving.lease_controller import LeaseKeeper
 from knapweedbridge_daemon.serving.measures import Measures
 from knapweedbridge_daemon.serving.peer_link import PeerLink
 from knapweedbridge_daemon.serving.refusal_records import RefusalRecords
--- a/packages/standins/src/knapweedbridge_standins/relay_pool/pool.py
+++ b/packages/standins/src/knapweedbridge_standins/relay_pool/pool.py
@@ -11,7 +11,7 @@
 from knapweedbridge_daemon.serving.dialects import OwnKeys
 from knapweedbridge_daemon.serving.hub import Hub, Identity
 from knapweedbridge_daemon.serving.lapse_check import LapseCheck
-from knapweedbridge_daemon.serving.lease_keeping import LeaseKeeper
+from knapweedbridge_daemon.serving.lease_controller import LeaseKeeper
 from knapweedbridge_daemon.serving.measures import Measures
 from knapweedbridge_daemon.serving.own_records import pack_daemon
 from knapweedbridge_daemon.serving.peer_link import PeerLink
