--- a/packages/daemon/src/knapweedbridge_daemon/serving/attempting.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/attempting.py
@@ -18,6 +18,10 @@
 from knapweedbridge_daemon.serving.clock import loop_time_s
 from knapweedbridge_daemon.serving.dialects import AnswerHead, AttemptDetails
 from knapweedbridge_daemon.serving.event_stream import EventCutter
+from knapweedbridge_daemon.serving.first_byte_timeouts import (
+    FirstByteTimeout,
+    FirstByteTimeoutError,
+)
 from knapweedbridge_daemon.serving.http_client import (
     BrokenError,
     ClientConnection,
@@ -25,10 +29,6 @@
     NotSentError,
 )
 from knapweedbridge_daemon.serving.hub import Hub
-from knapweedbridge_daemon.serving.patience import (
-    FirstByteTimeout,
-    FirstByteTimeoutError,
-)
 from knapweedbridge_daemon.serving.peer_link import PeerLink
 from knapweedbridge_daemon.serving.wire import (
     RequestHead,
@@ -89,9 +89,9 @@
                 call.holds_repeat = False
                 self._hub.budget.sent(call.service, loop_time_s())
             self._records.sent(call, target, forecast)
-            patience = self._patience(call, target, forecast)
-            with self._hub.patience.waiting(patience):
-                end = await self._exchange(call, target, patience, forecast)
+            first_byte_timeouts = self._patience(call, target, forecast)
+            with self._hub.first_byte_timeouts.waiting(first_byte_timeouts):
+                end = await self._exchange(call, target, first_byte_timeouts, forecast)
         except NotSentError as error:
             end, detail = AttemptEnd.NOT_RUN, str(error)
             call.refused.add(endpoint.name)
@@ -172,7 +172,7 @@
         self,
         call: Call,
         target: Target,
-        patience: FirstByteTimeout,
+        first_byte_timeouts: FirstByteTimeout,
         forecast: Forecast,
     ) -> AttemptEnd:
         head = self._attempt_head(call, target)
@@ -201,12 +201,17 @@
                 return AttemptEnd.NOT_RUN
             call.progress.runs.add(target.endpoint.name)
             if not proved.stream:
-                self._hub.patience.begun(patience)
+                self._hub.first_byte_timeouts.begun(first_byte_timeouts)
             if not proved.genuine:
                 raise BrokenError(f"status {answer.status} without a signature")
             if proved.stream and answer.status == 200:
                 return await self._relay(
-                    call, target.endpoint, connection, answer, patience, forecast
+                    call,
+                    target.endpoint,
+                    connection,
+                    answer,
+                    first_byte_timeouts,
+                    forecast,
                 )
             return await self._take_whole(call, connection, answer)
 
@@ -295,7 +300,7 @@
         endpoint: Endpoint,
         connection: ClientConnection,
         answer: ResponseHead,
-        patience: FirstByteTimeout,
+        first_byte_timeouts: FirstByteTimeout,
         forecast: Forecast,
     ) -> AttemptEnd:
         resumed = call.progress.begun
@@ -307,7 +312,7 @@
                 continue
             now_s = loop_time_s()
             if forecast.first_s is None:
-                self._hub.patience.begun(patience)
+                self._hub.first_byte_timeouts.begun(first_byte_timeouts)
             if call.unread_tokens:
                 self._note_read(call, endpoint)
             self._note_events(call, endpoint, forecast, now_s)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/hub.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/hub.py
@@ -28,9 +28,9 @@
 )
 from knapweedbridge_daemon.serving.decision_log import DecisionLog
 from knapweedbridge_daemon.serving.dialects import Dialects
+from knapweedbridge_daemon.serving.first_byte_timeouts import FirstByteTimeouts
 from knapweedbridge_daemon.serving.http_client import ConnectionPool
 from knapweedbridge_daemon.serving.measures import Measures
-from knapweedbridge_daemon.serving.patience import FirstByteTimeouts
 
 SETTLE_S = 3.0
 
@@ -110,7 +110,7 @@
         What becomes of calls that engines cannot answer in time.
     memory : MemoryBudget
         Bound on what is held for callers.
-    patience : FirstByteTimeouts
+    first_byte_timeouts : FirstByteTimeouts
         Bounds the patience with attempts that have not begun.
     """
 
@@ -142,10 +142,10 @@
     deadlines: UsualDeadlines = field(default_factory=UsualDeadlines)
     overload: OverloadPolicy = field(default_factory=AdmitAll)
     memory: MemoryBudget = field(default_factory=MemoryBudget)
-    patience: FirstByteTimeouts = field(init=False)
+    first_byte_timeouts: FirstByteTimeouts = field(init=False)
 
     def __post_init__(self) -> None:
-        self.patience = FirstByteTimeouts(self.cluster, self.steady_s)
+        self.first_byte_timeouts = FirstByteTimeouts(self.cluster, self.steady_s)
 
     def note_store_era(self, era: int) -> None:
         """Take the era of what the store said; a new one ends all that hung on it.
