--- a/features/wire/steps/wire_steps.py
+++ b/features/wire/steps/wire_steps.py
@@ -17,7 +17,7 @@
 )
 
 from knapweedbridge_daemon.serving.http_client import (
-    BrokenError,
+    ConnectionBrokenError,
     ConnectionPool,
     Destination,
 )
@@ -109,7 +109,7 @@
                     body += part
                 await anyio.sleep(SETTLE_S)
                 keeps = connection.end_exchange(anyio.current_time())
-    except BrokenError:
+    except ConnectionBrokenError:
         return "broken", body
     except TimeoutError:
         return "waits", body
--- a/packages/daemon/src/knapweedbridge_daemon/serving/attempting.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/attempting.py
@@ -23,8 +23,8 @@
     FirstByteTimeoutError,
 )
 from knapweedbridge_daemon.serving.http_client import (
-    BrokenError,
     ClientConnection,
+    ConnectionBrokenError,
     Destination,
     NotSentError,
 )
@@ -99,7 +99,7 @@
             self._records.unreachable(endpoint, error)
             if error.is_lost:
                 self._link.crashes.note_lost(endpoint.name, "unreachable")
-        except (BrokenError, BrokenEventsError) as error:
+        except (ConnectionBrokenError, BrokenEventsError) as error:
             end, detail = AttemptEnd.BROKEN, str(error)
             call.progress.runs.add(endpoint.name)
             is_closed = not isinstance(error, FirstByteTimeoutError)
@@ -203,7 +203,9 @@
             if not proved.stream:
                 self._hub.first_byte_timeouts.begun(first_byte_timeouts)
             if not proved.genuine:
-                raise BrokenError(f"status {answer.status} without a signature")
+                raise ConnectionBrokenError(
+                    f"status {answer.status} without a signature"
+                )
             if proved.stream and answer.status == 200:
                 return await self._relay(
                     call,
@@ -285,7 +287,7 @@
             parts.append(part)
             size += len(part)
             if size > MOST_BUFFERED_BYTES:
-                raise BrokenError("the answer is too long")
+                raise ConnectionBrokenError("the answer is too long")
         kept = KeptAnswer(answer, b"".join(parts))
         if answer.status >= 500 or call.responder.begun:
             # A stream that was begun cannot become another answer.
@@ -323,9 +325,9 @@
                 await self._begin_stream(call, answer, now_s)
             await send(events.data)
         if cutter.rest:
-            raise BrokenError("ended in the middle of an event")
+            raise ConnectionBrokenError("ended in the middle of an event")
         if not call.progress.begun:
-            raise BrokenError("a stream without an event")
+            raise ConnectionBrokenError("a stream without an event")
         await call.responder.end()
         return AttemptEnd.ANSWERED
 
--- a/packages/daemon/src/knapweedbridge_daemon/serving/client_connection.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/client_connection.py
@@ -67,7 +67,7 @@
         self.is_lost = is_lost
 
 
-class BrokenError(DaemonError):
+class ConnectionBrokenError(DaemonError):
     """The connection broke, or what came is no answer; the request may have run."""
 
 
@@ -104,7 +104,7 @@
         ------
         NotSentError
             If it cannot be written as a request.
-        BrokenError
+        ConnectionBrokenError
             If the connection broke without an answer; part of the request may have
             been written.
         """
@@ -130,23 +130,23 @@
         # that the call was not run. So it is read while the body is written. Where
         # the connection is kept, the server still reads the rest as a body.
         answer: ResponseHead | None = None
-        broken: BrokenError | None = None
+        broken: ConnectionBrokenError | None = None
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._write_long, packed)
             try:
                 answer = await self._read_head(belongs)
-            except BrokenError as error:
+            except ConnectionBrokenError as error:
                 broken = error
             if broken or not self._keeps:
                 tasks.cancel_scope.cancel()
         if answer is None:
-            raise broken or BrokenError(f"{self.address}: no answer")
+            raise broken or ConnectionBrokenError(f"{self.address}: no answer")
         return answer
 
     async def _write_long(self, packed: bytes) -> None:
         try:
             await self._write(packed)
-        except BrokenError:
+        except ConnectionBrokenError:
             # Whether an answer came before, the reader tells.
             self._keeps = False
             return
@@ -157,7 +157,7 @@
 
         Raises
         ------
-        BrokenError
+        ConnectionBrokenError
             If the connection broke before the answer's end.
         """
         head = await self.exchange(request.head, request.body, lambda headers: True)
@@ -168,13 +168,13 @@
         try:
             await self._stream.send(packed)
         except OSError as error:
-            raise BrokenError(f"{self.address}: {error!r}") from error
+            raise ConnectionBrokenError(f"{self.address}: {error!r}") from error
 
     async def _receive(self) -> bytes:
         try:
             return await self._stream.receive()
         except OSError as error:
-            raise BrokenError(f"{self.address}: {error!r}") from error
+            raise ConnectionBrokenError(f"{self.address}: {error!r}") from error
 
     async def _read_head(self, belongs: Belongs) -> ResponseHead:
         """Read the head of the answer to the request that was sent.
@@ -195,9 +195,9 @@
             try:
                 head, framing = read_response_head(block)
             except HeadError as error:
-                raise BrokenError(f"{self.address}: {error}") from error
+                raise ConnectionBrokenError(f"{self.address}: {error}") from error
             if head.status == SWITCHING_STATUS:
-                raise BrokenError(f"{self.address}: changed its protocol")
+                raise ConnectionBrokenError(f"{self.address}: changed its protocol")
             if head.status < 200:
                 continue
             self._keeps = self._keeps and not framing.closes
@@ -212,11 +212,11 @@
             if end >= 0:
                 break
             if len(self._unread) > MOST_HEAD_BYTES:
-                raise BrokenError(f"{self.address}: a head without an end")
+                raise ConnectionBrokenError(f"{self.address}: a head without an end")
             searched = max(0, len(self._unread) - len(END_OF_HEAD) + 1)
             chunk = await self._receive()
             if not chunk:
-                raise BrokenError(f"{self.address}: closed before its answer")
+                raise ConnectionBrokenError(f"{self.address}: closed before its answer")
             self._unread += chunk
         end += len(END_OF_HEAD)
         block, self._unread = self._unread[:end], self._unread[end:]
@@ -232,7 +232,7 @@
 
         Raises
         ------
-        BrokenError
+        ConnectionBrokenError
             If it was cut before its end.
         """
         body = self._body
@@ -251,7 +251,7 @@
         try:
             part = body.feed(data)
         except BodyError as error:
-            raise BrokenError(f"{self.address}: {error}") from error
+            raise ConnectionBrokenError(f"{self.address}: {error}") from error
         if body.is_complete:
             # Another answer, or bytes that belong to none.
             self._unread = body.rest
@@ -261,7 +261,7 @@
         try:
             body.end()
         except BodyError as error:
-            raise BrokenError(f"{self.address}: cut in its answer") from error
+            raise ConnectionBrokenError(f"{self.address}: cut in its answer") from error
         self._keeps = False
 
     def end_exchange(self, now_s: float) -> bool:
--- a/packages/daemon/src/knapweedbridge_daemon/serving/crash_watch.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/crash_watch.py
@@ -22,7 +22,10 @@
 from knapweedbridge_daemon.serving.blame_notifier import BlameNotifier, lost_calls
 from knapweedbridge_daemon.serving.call import Call
 from knapweedbridge_daemon.serving.clock import loop_time_s
-from knapweedbridge_daemon.serving.http_client import BrokenError, NotSentError
+from knapweedbridge_daemon.serving.http_client import (
+    ConnectionBrokenError,
+    NotSentError,
+)
 from knapweedbridge_daemon.serving.hub import Hub, Send
 from knapweedbridge_daemon.serving.loss_proof import find_loss
 
@@ -234,7 +237,7 @@
                 lives = not cause
         except NotSentError as error:
             cause = "unreachable" if error.is_lost else ""
-        except BrokenError as error:
+        except ConnectionBrokenError as error:
             self._hub.log.info(
                 "endpoint.not_probed", endpoint=endpoint.name, error=str(error)
             )
--- a/packages/daemon/src/knapweedbridge_daemon/serving/engine_owner.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/engine_owner.py
@@ -31,7 +31,7 @@
 from knapweedbridge_daemon.serving.backpressure_recorder import BackpressureRecorder
 from knapweedbridge_daemon.serving.dialects import DialectError
 from knapweedbridge_daemon.serving.http_client import (
-    BrokenError,
+    ConnectionBrokenError,
     Destination,
     NotSentError,
 )
@@ -276,7 +276,12 @@
             if head.status != 200:
                 raise DialectError(f"status {head.status}")
             report = self._hub.dialects.endpoints.read_report(body)
-        except (NotSentError, BrokenError, TimeoutError, DialectError) as error:
+        except (
+            NotSentError,
+            ConnectionBrokenError,
+            TimeoutError,
+            DialectError,
+        ) as error:
             self._hub.log.info(
                 "engine.report_failed", engine=self.endpoint.name, error=str(error)
             )
@@ -328,7 +333,7 @@
             await self._signs.take(self.endpoint, dialect.read_answer(head), sent_s)
         except NotSentError:
             answer = OrderAnswer.REFUSED
-        except (BrokenError, TimeoutError):
+        except (ConnectionBrokenError, TimeoutError):
             # Whether it is carried out, now or later, only a later order shows.
             answer = OrderAnswer.UNKNOWN
         if order.kind is OrderKind.LOAD:
--- a/packages/daemon/src/knapweedbridge_daemon/serving/http_client.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/http_client.py
@@ -12,15 +12,15 @@
 from knapweedbridge_daemon.serving import byte_stream
 from knapweedbridge_daemon.serving.byte_stream import ByteStream
 from knapweedbridge_daemon.serving.client_connection import (
-    BrokenError,
     ClientConnection,
+    ConnectionBrokenError,
     NotSentError,
 )
 from knapweedbridge_daemon.serving.client_streams import ClientStream
 from knapweedbridge_daemon.serving.clock import loop_time_s
 
 __all__ = [
-    "BrokenError",
+    "ConnectionBrokenError",
     "ClientConnection",
     "ConnectionPool",
     "Connector",
--- a/packages/daemon/src/knapweedbridge_daemon/serving/patience.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/patience.py
@@ -9,14 +9,14 @@
 
 from knapweedbridge_core.serving import ClusterState, ModelRef
 from knapweedbridge_daemon.serving.clock import loop_time_s
-from knapweedbridge_daemon.serving.http_client import BrokenError
+from knapweedbridge_daemon.serving.http_client import ConnectionBrokenError
 
 WITHDRAWAL_MARGIN_S = 0.25
 """Time before the operators' bound at which an attempt is given up: its connection must
 be closed at the engine by then."""
 
 
-class FirstByteTimeoutError(BrokenError):
+class FirstByteTimeoutError(ConnectionBrokenError):
     """An attempt was given up as it had not begun; it may run all the same."""
 
 
