--- a/packages/daemon/src/knapweedbridge_daemon/serving/plain_asking.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/plain_asking.py
@@ -44,7 +44,7 @@
     state: PlainState
 
 
-class PlainAsking:
+class PlainLoadClient:
     """Questions to the daemons that count, and what they answered.
 
     Parameters
--- a/packages/daemon/src/knapweedbridge_daemon/serving/plain_counting.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/plain_counting.py
@@ -22,7 +22,7 @@
 )
 from knapweedbridge_core.serving.plain_messages import PlainLoadReport
 from knapweedbridge_daemon.serving.hub import Hub, Send
-from knapweedbridge_daemon.serving.plain_asking import PlainAsking
+from knapweedbridge_daemon.serving.plain_asking import PlainLoadClient
 from knapweedbridge_daemon.serving.plain_counters import PlainCounters, load_coordinator
 from knapweedbridge_daemon.serving.plain_greeting import PlainMessage
 
@@ -50,7 +50,7 @@
         self._hub = hub
         self._send = send
         self._calls: Counter[EndpointStart] = Counter()
-        self._asking = PlainAsking(hub, send, self._calls)
+        self._asking = PlainLoadClient(hub, send, self._calls)
         self._counters = PlainCounters(hub, send)
 
     async def choose(
