--- a/bench/peer_messages.py
+++ b/bench/peer_messages.py
@@ -55,7 +55,7 @@
 from knapweedbridge_daemon.peers import Peers
 from knapweedbridge_daemon.serving.engine_owner import EngineOwner
 from knapweedbridge_daemon.serving.hub import Hub, Identity
-from knapweedbridge_daemon.serving.lease_controller import LeaseKeeper
+from knapweedbridge_daemon.serving.lease_controller import LeaseController
 from knapweedbridge_daemon.serving.measures import Measures
 from knapweedbridge_daemon.serving.peer_link import PeerLink
 from knapweedbridge_daemon.serving.store_update_codec import pack_engines, pack_items
@@ -223,7 +223,7 @@
     """Measure a look for engines without an owner, where all have one."""
     hub = make_hub()
     follower: Any = SimpleNamespace()
-    keeper = LeaseKeeper(hub, follower)
+    keeper = LeaseController(hub, follower)
 
     async def look() -> None:
         for _ in range(MESSAGES):
--- a/features/serving/steps/kept_view_steps.py
+++ b/features/serving/steps/kept_view_steps.py
@@ -31,7 +31,7 @@
 from knapweedbridge_core.serving.engine_calls import CALLS_MAX_AGE_S, EngineCalls
 from knapweedbridge_core.serving.messages import CallsReport, EngineTold
 from knapweedbridge_daemon.serving.engine_owner import EngineOwner
-from knapweedbridge_daemon.serving.lease_controller import LeaseKeeper
+from knapweedbridge_daemon.serving.lease_controller import LeaseController
 from knapweedbridge_daemon.serving.measures import Measures
 
 LIMITS = EngineLimits(8, 10_000, 4, 1000.0, 1.0)
@@ -79,7 +79,7 @@
     context.hub = hub_of(daemons=2, engines=2)
 
     async def look():
-        context.keeper = LeaseKeeper(context.hub, None)
+        context.keeper = LeaseController(context.hub, None)
         context.keeper._started_s = -100.0
         assert not context.keeper._due()
 
--- a/packages/daemon/src/knapweedbridge_daemon/serving/host.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/host.py
@@ -29,7 +29,7 @@
 from knapweedbridge_daemon.serving.http_server import HttpServer
 from knapweedbridge_daemon.serving.hub import Hub, Identity
 from knapweedbridge_daemon.serving.lapse_check import LapseCheck
-from knapweedbridge_daemon.serving.lease_controller import LeaseKeeper
+from knapweedbridge_daemon.serving.lease_controller import LeaseController
 from knapweedbridge_daemon.serving.measures import Measures
 from knapweedbridge_daemon.serving.peer_link import PeerLink
 from knapweedbridge_daemon.serving.refusal_records import RefusalRecords
@@ -148,7 +148,7 @@
             link.relaying.store_changed,
         )
         link.on_store_update = follower.heard
-        lease = LeaseKeeper(hub, follower, link.owners.stop)
+        lease = LeaseController(hub, follower, link.owners.stop)
         app = CallersApp(hub, CallRunner(hub, link), link.shares)
         held = HeldMemory(hub)
         handle = held.guard(app.handle)
@@ -207,7 +207,7 @@
     async def _await_stop(
         self,
         hub: Hub,
-        lease: LeaseKeeper,
+        lease: LeaseController,
         face: HttpServer,
         app: CallersApp,
         forwarding: Forwarding,
@@ -244,7 +244,7 @@
     async def _drain(
         self,
         hub: Hub,
-        lease: LeaseKeeper,
+        lease: LeaseController,
         face: HttpServer,
         app: CallersApp,
         forwarding: Forwarding,
--- a/packages/daemon/src/knapweedbridge_daemon/serving/lease_controller.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/lease_controller.py
@@ -47,7 +47,7 @@
 SECRET_BYTES = 32
 
 
-class LeaseKeeper:
+class LeaseController:
     """The task that holds the lease and what hangs on it.
 
     Parameters
--- a/packages/standins/src/knapweedbridge_standins/relay_pool/pool.py
+++ b/packages/standins/src/knapweedbridge_standins/relay_pool/pool.py
@@ -11,7 +11,7 @@
 from knapweedbridge_daemon.serving.dialects import OwnKeys
 from knapweedbridge_daemon.serving.hub import Hub, Identity
 from knapweedbridge_daemon.serving.lapse_check import LapseCheck
-from knapweedbridge_daemon.serving.lease_controller import LeaseKeeper
+from knapweedbridge_daemon.serving.lease_controller import LeaseController
 from knapweedbridge_daemon.serving.measures import Measures
 from knapweedbridge_daemon.serving.own_records import pack_daemon
 from knapweedbridge_daemon.serving.peer_link import PeerLink
@@ -95,7 +95,7 @@
 
     def keep_lease(self, tasks: TaskGroup) -> None:
         """Hold a lease until the tasks are cancelled."""
-        tasks.start_soon(LeaseKeeper(self.hub, self.follower).run)
+        tasks.start_soon(LeaseController(self.hub, self.follower).run)
 
     def knows_leaving(self, name: str) -> bool:
         """Tell whether it knows that an endpoint leaves."""
