--- a/bench/peer_messages.py
+++ b/bench/peer_messages.py
@@ -56,7 +56,7 @@
 from knapweedbridge_daemon.serving.engine_owner import EngineOwner
 from knapweedbridge_daemon.serving.hub import Hub, Identity
 from knapweedbridge_daemon.serving.lease_controller import LeaseController
-from knapweedbridge_daemon.serving.measures import Measures
+from knapweedbridge_daemon.serving.measures import MetricsRegistry
 from knapweedbridge_daemon.serving.peer_link import PeerLink
 from knapweedbridge_daemon.serving.store_update_codec import pack_engines, pack_items
 
@@ -89,7 +89,7 @@
         dialects,
         RetryBudget(0.2, 50, 10),
         log,
-        Measures(),
+        MetricsRegistry(),
     )
     route = Route(
         *("r", "x", "/", CallKind.STREAM, (WeightedService("llm", 1.0),), 5.0, 0.8),
--- a/features/accounts/steps/keeper_steps.py
+++ b/features/accounts/steps/keeper_steps.py
@@ -14,7 +14,7 @@
 )
 from knapweedbridge_core.serving.cluster_state import DaemonNamed, DeploymentNamed
 from knapweedbridge_daemon.serving.hub import Hub, Identity
-from knapweedbridge_daemon.serving.measures import Measures
+from knapweedbridge_daemon.serving.measures import MetricsRegistry
 from knapweedbridge_daemon.serving.quota_shares import QuotaShares
 from knapweedbridge_standins.virtual_loop import run_virtually
 
@@ -32,7 +32,7 @@
         identity = Identity(record.name, 1, record.data_centre, record.address)
         budget = RetryBudget(0.2, 50, 10)
         self.hub = Hub(
-            identity, None, budget, log, Measures(), steady_s=anyio.current_time
+            identity, None, budget, log, MetricsRegistry(), steady_s=anyio.current_time
         )
         for each in RECORDS:
             self.hub.cluster.take(DaemonNamed(each), 0.0)
--- a/features/paths/steps/tunnel_steps.py
+++ b/features/paths/steps/tunnel_steps.py
@@ -35,7 +35,7 @@
     DirectConnector,
     NotSentError,
 )
-from knapweedbridge_daemon.serving.measures import Measures
+from knapweedbridge_daemon.serving.measures import MetricsRegistry
 from knapweedbridge_daemon.serving.tunnels import END, Tunnels, TunnelStream
 
 SECRET = b"secret of the features"
@@ -100,7 +100,7 @@
         paths=paths,
         draining=draining,
         log=Log(),
-        measures=Measures(),
+        measures=MetricsRegistry(),
     )
 
 
--- a/features/plain/steps/memory_steps.py
+++ b/features/plain/steps/memory_steps.py
@@ -9,7 +9,7 @@
     CallerDisconnectedError,
     ReceivedRequest,
 )
-from knapweedbridge_daemon.serving.measures import Measures
+from knapweedbridge_daemon.serving.measures import MetricsRegistry
 from knapweedbridge_daemon.serving.wire import RequestHead, ResponseHead
 from knapweedbridge_platform.callers import PlatformCallers
 from knapweedbridge_standins.virtual_loop import run_virtually
@@ -121,7 +121,7 @@
 def request_gets(context, body, answer, reads):
     hub = SimpleNamespace(
         memory=context.budget,
-        measures=Measures(),
+        measures=MetricsRegistry(),
         log=SimpleNamespace(info=lambda kind, **fields: None),
         dialects=SimpleNamespace(callers=PlatformCallers()),
     )
--- a/features/serving/steps/log_steps.py
+++ b/features/serving/steps/log_steps.py
@@ -12,7 +12,7 @@
 from knapweedbridge_cli.loss_dips import EndedCall, find_dips
 from knapweedbridge_cli.main import run
 from knapweedbridge_daemon.serving.decision_log import DecisionLog
-from knapweedbridge_daemon.serving.measures import Measures
+from knapweedbridge_daemon.serving.measures import MetricsRegistry
 
 
 @given("a log whose output {fault}")
@@ -91,7 +91,7 @@
 
 @when("calls, attempts and durations were measured")
 def measured(context):
-    measures = Measures()
+    measures = MetricsRegistry()
     for kind in ("answered", "answered", "overloaded"):
         measures.count("requests", kind)
     measures.count("attempts", "broken")
--- a/features/speeds/steps/learning_steps.py
+++ b/features/speeds/steps/learning_steps.py
@@ -17,7 +17,7 @@
     SpeedReports,
 )
 from knapweedbridge_daemon.serving.engine_observations import EngineObservations
-from knapweedbridge_daemon.serving.measures import Measures
+from knapweedbridge_daemon.serving.measures import MetricsRegistry
 from knapweedbridge_daemon.serving.running_calls import RunningCalls
 from knapweedbridge_daemon.serving.speed_tracker import SpeedTracker
 
@@ -182,7 +182,7 @@
         rates=rates,
         log=log,
         lines=lines,
-        measures=Measures(),
+        measures=MetricsRegistry(),
     )
 
 
--- a/packages/daemon/src/knapweedbridge_daemon/serving/host.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/host.py
@@ -30,7 +30,7 @@
 from knapweedbridge_daemon.serving.hub import Hub, Identity
 from knapweedbridge_daemon.serving.lapse_check import LapseCheck
 from knapweedbridge_daemon.serving.lease_controller import LeaseController
-from knapweedbridge_daemon.serving.measures import Measures
+from knapweedbridge_daemon.serving.measures import MetricsRegistry
 from knapweedbridge_daemon.serving.peer_link import PeerLink
 from knapweedbridge_daemon.serving.refusal_records import RefusalRecords
 from knapweedbridge_daemon.serving.settings import ServingSettings
@@ -124,7 +124,7 @@
             dialects,
             budget,
             log,
-            Measures(),
+            MetricsRegistry(),
             outage=StoreOutage(settle_s),
             tolerance=QuotaTolerance(
                 get("limits", "quota_window_s"),
--- a/packages/daemon/src/knapweedbridge_daemon/serving/hub.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/hub.py
@@ -30,7 +30,7 @@
 from knapweedbridge_daemon.serving.dialects import Dialects
 from knapweedbridge_daemon.serving.first_byte_timeouts import FirstByteTimeouts
 from knapweedbridge_daemon.serving.http_client import ConnectionPool
-from knapweedbridge_daemon.serving.measures import Measures
+from knapweedbridge_daemon.serving.measures import MetricsRegistry
 
 SETTLE_S = 3.0
 
@@ -118,7 +118,7 @@
     dialects: Dialects
     budget: RetryBudget
     log: DecisionLog
-    measures: Measures
+    measures: MetricsRegistry
     pool: ConnectionPool = field(default_factory=ConnectionPool)
     paths: EndpointPaths = field(default_factory=EndpointPaths)
     cluster: ClusterState = field(default_factory=ClusterState)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/measures.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/measures.py
@@ -7,7 +7,7 @@
 """Upper bounds; the objectives of the users' routes lie between 0.1 and 1 s."""
 
 
-class Measures:
+class MetricsRegistry:
     """Counts in memory; the text is made only when it is asked for."""
 
     def __init__(self) -> None:
--- a/packages/standins/src/knapweedbridge_standins/relay_pool/pool.py
+++ b/packages/standins/src/knapweedbridge_standins/relay_pool/pool.py
@@ -12,7 +12,7 @@
 from knapweedbridge_daemon.serving.hub import Hub, Identity
 from knapweedbridge_daemon.serving.lapse_check import LapseCheck
 from knapweedbridge_daemon.serving.lease_controller import LeaseController
-from knapweedbridge_daemon.serving.measures import Measures
+from knapweedbridge_daemon.serving.measures import MetricsRegistry
 from knapweedbridge_daemon.serving.own_records import pack_daemon
 from knapweedbridge_daemon.serving.peer_link import PeerLink
 from knapweedbridge_daemon.serving.store_follower import StoreFollower
@@ -80,7 +80,7 @@
             dialects,
             RetryBudget(0.2, 50, 10),
             log,
-            Measures(),
+            MetricsRegistry(),
             steady_s=anyio.current_time,
         )
 
--- a/packages/standins/src/knapweedbridge_standins/serving_histories/stream_origins.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_histories/stream_origins.py
@@ -40,7 +40,7 @@
 from knapweedbridge_daemon.serving.call import Call
 from knapweedbridge_daemon.serving.dialects import CallDetails
 from knapweedbridge_daemon.serving.hub import Hub
-from knapweedbridge_daemon.serving.measures import Measures
+from knapweedbridge_daemon.serving.measures import MetricsRegistry
 from knapweedbridge_daemon.serving.stream_resuming import (
     ANSWER_S,
     ASK_AGAIN_S,
@@ -194,7 +194,7 @@
         self.is_alive = True
         self.next_read_s = 0.0
         self._pool = pool
-        self.measures = Measures()
+        self.measures = MetricsRegistry()
         hub = _Hub(self)
         self.resuming = StreamResuming(cast(Hub, hub), partial(pool.send, self))
 
