--- a/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
@@ -28,7 +28,7 @@
 from knapweedbridge_daemon.serving.forwarding import Forwarding
 from knapweedbridge_daemon.serving.hub import Hub
 from knapweedbridge_daemon.serving.permits import PermitMessage, Permits
-from knapweedbridge_daemon.serving.plain_counting import PlainCounts
+from knapweedbridge_daemon.serving.plain_counting import PlainRouter
 from knapweedbridge_daemon.serving.plain_greeting import PlainMessage, is_plain_message
 from knapweedbridge_daemon.serving.quota_shares import QuotaShares
 from knapweedbridge_daemon.serving.running_calls import RunningCalls
@@ -67,7 +67,7 @@
         self.turns = Turns(hub, self.send, self.running.note_sent)
         self.relaying = UpdateRelay(hub, self.send)
         self.permits = Permits(hub, self.send, self.relaying)
-        self.plain = PlainCounts(hub, self.send)
+        self.plain = PlainRouter(hub, self.send)
         self.signs = BackpressureRecorder(hub, self.permits)
         self.forwarding = Forwarding(hub, tunnels)
         self.owners = EngineOwners(hub, self.send, self.permits, self.signs)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/plain_counting.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/plain_counting.py
@@ -35,7 +35,7 @@
 of processor time, and a request about 31 ms."""
 
 
-class PlainCounts:
+class PlainRouter:
     """The requests at plain endpoints, as far as this daemon has to do with them.
 
     Parameters
