--- a/features/platform/steps/path_steps.py
+++ b/features/platform/steps/path_steps.py
@@ -19,12 +19,12 @@
 
 from knapweedbridge_core.errors import CheckError
 from knapweedbridge_daemon.serving import attempting, http_server, placing
+from knapweedbridge_daemon.serving.endpoint_sweep import EndpointSweep
 from knapweedbridge_daemon.serving.http_client import (
     ConnectionPool,
     Destination,
 )
 from knapweedbridge_daemon.serving.settings import read_serving_settings
-from knapweedbridge_daemon.serving.sweeping import EndpointSweep
 from knapweedbridge_daemon.serving.wire import RequestHead, WireRequest
 
 ROOT = Path(__file__).parents[3]
--- a/packages/daemon/src/knapweedbridge_daemon/serving/host.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/host.py
@@ -24,6 +24,7 @@
 from knapweedbridge_daemon.serving.decision_log import DecisionLog
 from knapweedbridge_daemon.serving.dialects import load_dialects
 from knapweedbridge_daemon.serving.endpoint_connector import EndpointConnector
+from knapweedbridge_daemon.serving.endpoint_sweep import EndpointSweep
 from knapweedbridge_daemon.serving.forwarding import Forwarding
 from knapweedbridge_daemon.serving.held_memory import HeldMemory
 from knapweedbridge_daemon.serving.http_server import HttpServer
@@ -37,7 +38,6 @@
 from knapweedbridge_daemon.serving.software_records import SoftwareRecords
 from knapweedbridge_daemon.serving.store_follower import StoreFollower
 from knapweedbridge_daemon.serving.store_marks import StoreMarks
-from knapweedbridge_daemon.serving.sweeping import EndpointSweep
 from knapweedbridge_daemon.serving.tunnels import Tunnels
 
 OVERLOAD_POLICIES: dict[str, type[OverloadPolicy]] = {
--- a/packages/standins/src/knapweedbridge_standins/relay_pool/pool.py
+++ b/packages/standins/src/knapweedbridge_standins/relay_pool/pool.py
@@ -9,6 +9,7 @@
 from knapweedbridge_core.serving import DaemonRecord, RetryBudget
 from knapweedbridge_core.serving.cluster_state import DaemonNamed
 from knapweedbridge_daemon.serving.dialects import OwnKeys
+from knapweedbridge_daemon.serving.endpoint_sweep import EndpointSweep
 from knapweedbridge_daemon.serving.hub import Hub, Identity
 from knapweedbridge_daemon.serving.lapse_check import LapseCheck
 from knapweedbridge_daemon.serving.lease_controller import LeaseController
@@ -17,7 +18,6 @@
 from knapweedbridge_daemon.serving.peer_link import PeerLink
 from knapweedbridge_daemon.serving.store_follower import StoreFollower
 from knapweedbridge_daemon.serving.store_marks import StoreMarks
-from knapweedbridge_daemon.serving.sweeping import EndpointSweep
 from knapweedbridge_standins.relay_pool.store import (
     SERVICE,
     ListedStore,
