--- a/packages/standins/src/knapweedbridge_standins/serving_histories/versions.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_histories/versions.py
@@ -18,7 +18,7 @@
 )
 from knapweedbridge_core.serving.cluster_state import VersionNamed
 from knapweedbridge_core.serving.endpoint import HeldAdapter
-from knapweedbridge_daemon.serving.patience import WITHDRAWAL_MARGIN_S
+from knapweedbridge_daemon.serving.first_byte_timeouts import WITHDRAWAL_MARGIN_S
 
 DAEMONS = 4
 ENGINES = 5
