--- a/bench/overload_scenarios.py
+++ b/bench/overload_scenarios.py
@@ -8,10 +8,10 @@
 
 from knapweedbridge_core import Bridge, events
 from knapweedbridge_core.actions import Action
-from knapweedbridge_core.blame import Blame, Verdict
 from knapweedbridge_core.configuration import Configuration, build
 from knapweedbridge_core.names import AdapterVersion, parse_adapter_version
 from knapweedbridge_core.outcomes import Complete, NotRun, Outcome, Reason
+from knapweedbridge_core.suspects import Blame, Verdict
 from knapweedbridge_standins.virtual_pool import FakeEngine, VirtualClock, VirtualPool
 
 MODEL = "refill@1"
--- a/features/overload/steps/blame_steps.py
+++ b/features/overload/steps/blame_steps.py
@@ -11,7 +11,7 @@
 )
 
 from knapweedbridge_core import events
-from knapweedbridge_core.blame import Blame, Verdict
+from knapweedbridge_core.suspects import Blame, Verdict
 
 
 @when('a request that crashes engines runs beside {count:d} others with "{blame}"')
--- a/packages/core/src/knapweedbridge_core/blame_side.py
+++ b/packages/core/src/knapweedbridge_core/blame_side.py
@@ -4,10 +4,10 @@
 
 from knapweedbridge_core import events, messages
 from knapweedbridge_core.actions import Count, ProbeEndpoint
-from knapweedbridge_core.blame import Blame, LossState
 from knapweedbridge_core.context import Context, Handler, Side
 from knapweedbridge_core.names import AdapterVersion
 from knapweedbridge_core.outcomes import Complete, Reason, Unknown
+from knapweedbridge_core.suspects import Blame, LossState
 
 INNOCENT_REASONS = frozenset({Reason.CANCELLED, Reason.WRONG_ADAPTER, Reason.DEADLINE})
 
--- a/packages/core/src/knapweedbridge_core/context.py
+++ b/packages/core/src/knapweedbridge_core/context.py
@@ -6,12 +6,12 @@
 from typing import Any
 
 from knapweedbridge_core.actions import Action, Record, SendPeer
-from knapweedbridge_core.blame import Blame
 from knapweedbridge_core.configuration import Configuration, EndpointEntry
 from knapweedbridge_core.fencing import FencingNumbers
 from knapweedbridge_core.leaving import Leaving
 from knapweedbridge_core.members import Members
 from knapweedbridge_core.names import AdapterVersion
+from knapweedbridge_core.suspects import Blame
 from knapweedbridge_core.view import View
 
 Handler = Callable[[Any], None]
--- a/packages/core/src/knapweedbridge_core/grant_admission.py
+++ b/packages/core/src/knapweedbridge_core/grant_admission.py
@@ -1,9 +1,9 @@
 """Checks before the owner looks for a slot: leaving endpoints and quarantine."""
 
 from knapweedbridge_core import messages
-from knapweedbridge_core.blame import Quarantine
 from knapweedbridge_core.context import Context
 from knapweedbridge_core.outcomes import Reason
+from knapweedbridge_core.suspects import Quarantine
 
 
 class GrantAdmission:
--- a/packages/core/src/knapweedbridge_core/request_side.py
+++ b/packages/core/src/knapweedbridge_core/request_side.py
@@ -3,7 +3,6 @@
 from knapweedbridge_core import events, messages, rendezvous
 from knapweedbridge_core.actions import Count, Dispatch, Finish, Resume
 from knapweedbridge_core.admission_gate import AdmissionGate
-from knapweedbridge_core.blame import Verdict
 from knapweedbridge_core.claimant_side import ClaimantSide
 from knapweedbridge_core.claims import lacks_key, needs_claim
 from knapweedbridge_core.context import Context, Handler, Side
@@ -19,6 +18,7 @@
 from knapweedbridge_core.placement import Holder, make_placement
 from knapweedbridge_core.requests import LiveRequest
 from knapweedbridge_core.retries import RETRY_AFTER_S, Again, GoOn, RetryBudget, decide
+from knapweedbridge_core.suspects import Verdict
 from knapweedbridge_core.times import GRANT_USE_TIMEOUT_S
 
 
--- a/packages/core/src/knapweedbridge_core/serving/crashes.py
+++ b/packages/core/src/knapweedbridge_core/serving/crashes.py
@@ -12,7 +12,6 @@
 from collections.abc import Iterable, Sequence
 from itertools import takewhile
 
-from knapweedbridge_core.blame import LOSSES_REFUSED, Blame, Verdict
 from knapweedbridge_core.serving.endpoint_records import EndpointStart
 from knapweedbridge_core.serving.fingerprinting import SEPARATOR, request_digest
 from knapweedbridge_core.serving.incomplete_calls import (
@@ -29,6 +28,7 @@
     PartLedger,
 )
 from knapweedbridge_core.serving.suspect_parts import LostCall, refused_parts
+from knapweedbridge_core.suspects import LOSSES_REFUSED, Blame, Verdict
 
 FIRST_REFUSAL_S = 60.0
 """Duration of the first refusal; callers give up on a request within seconds."""
--- a/packages/core/src/knapweedbridge_core/serving/suspect_parts.py
+++ b/packages/core/src/knapweedbridge_core/serving/suspect_parts.py
@@ -4,8 +4,8 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from knapweedbridge_core.blame import LAPSE_GROWTH
 from knapweedbridge_core.serving.prompt_parts import PART_PREFIX
+from knapweedbridge_core.suspects import LAPSE_GROWTH
 
 FIRST_REFUSAL_S = 60.0
 """Duration of the first refusal of a part; each later one lasts ten times as long."""
