--- a/bench/peer_messages.py
+++ b/bench/peer_messages.py
@@ -56,7 +56,7 @@
 from knapweedbridge_daemon.serving.engine_owner import EngineOwner
 from knapweedbridge_daemon.serving.hub import Hub, Identity
 from knapweedbridge_daemon.serving.lease_controller import LeaseController
-from knapweedbridge_daemon.serving.measures import MetricsRegistry
+from knapweedbridge_daemon.serving.metrics_registry import MetricsRegistry
 from knapweedbridge_daemon.serving.peer_link import PeerLink
 from knapweedbridge_daemon.serving.store_update_codec import pack_engines, pack_items
 
--- a/features/accounts/steps/keeper_steps.py
+++ b/features/accounts/steps/keeper_steps.py
@@ -14,7 +14,7 @@
 )
 from knapweedbridge_core.serving.cluster_state import DaemonNamed, DeploymentNamed
 from knapweedbridge_daemon.serving.hub import Hub, Identity
-from knapweedbridge_daemon.serving.measures import MetricsRegistry
+from knapweedbridge_daemon.serving.metrics_registry import MetricsRegistry
 from knapweedbridge_daemon.serving.quota_shares import QuotaShares
 from knapweedbridge_standins.virtual_loop import run_virtually
 
--- a/features/paths/steps/tunnel_steps.py
+++ b/features/paths/steps/tunnel_steps.py
@@ -35,7 +35,7 @@
     DirectConnector,
     NotSentError,
 )
-from knapweedbridge_daemon.serving.measures import MetricsRegistry
+from knapweedbridge_daemon.serving.metrics_registry import MetricsRegistry
 from knapweedbridge_daemon.serving.tunnels import END, Tunnels, TunnelStream
 
 SECRET = b"secret of the features"
--- a/features/plain/steps/entry_steps.py
+++ b/features/plain/steps/entry_steps.py
@@ -11,7 +11,7 @@
 from knapweedbridge_core.serving import RetryBudget
 from knapweedbridge_daemon.serving.dialects import OwnKeys
 from knapweedbridge_daemon.serving.hub import Hub, Identity
-from knapweedbridge_daemon.serving.measures import MetricsRegistry
+from knapweedbridge_daemon.serving.metrics_registry import MetricsRegistry
 from knapweedbridge_daemon.serving.store_follower import StoreFollower
 from knapweedbridge_daemon.store import StoreItem
 from knapweedbridge_platform.items import PlatformItems
--- a/features/plain/steps/memory_steps.py
+++ b/features/plain/steps/memory_steps.py
@@ -9,7 +9,7 @@
     CallerDisconnectedError,
     ReceivedRequest,
 )
-from knapweedbridge_daemon.serving.measures import MetricsRegistry
+from knapweedbridge_daemon.serving.metrics_registry import MetricsRegistry
 from knapweedbridge_daemon.serving.wire import RequestHead, ResponseHead
 from knapweedbridge_platform.callers import PlatformCallers
 from knapweedbridge_standins.virtual_loop import run_virtually
--- a/features/serving/steps/kept_view_steps.py
+++ b/features/serving/steps/kept_view_steps.py
@@ -32,7 +32,7 @@
 from knapweedbridge_core.serving.messages import CallsReport, EngineTold
 from knapweedbridge_daemon.serving.engine_owner import EngineOwner
 from knapweedbridge_daemon.serving.lease_controller import LeaseController
-from knapweedbridge_daemon.serving.measures import MetricsRegistry
+from knapweedbridge_daemon.serving.metrics_registry import MetricsRegistry
 
 LIMITS = EngineLimits(8, 10_000, 4, 1000.0, 1.0)
 DEPLOYMENT = Deployment(1, (), {"llm": Service("llm", "/", 10, LIMITS)})
--- a/features/serving/steps/log_steps.py
+++ b/features/serving/steps/log_steps.py
@@ -12,7 +12,7 @@
 from knapweedbridge_cli.loss_dips import EndedCall, find_dips
 from knapweedbridge_cli.main import run
 from knapweedbridge_daemon.serving.decision_log import DecisionLog
-from knapweedbridge_daemon.serving.measures import MetricsRegistry
+from knapweedbridge_daemon.serving.metrics_registry import MetricsRegistry
 
 
 @given("a log whose output {fault}")
--- a/features/serving/steps/restart_steps.py
+++ b/features/serving/steps/restart_steps.py
@@ -28,7 +28,7 @@
 )
 from knapweedbridge_core.serving.messages import EngineTold
 from knapweedbridge_daemon.serving.dialects import DialectError, OwnKeys
-from knapweedbridge_daemon.serving.measures import MetricsRegistry
+from knapweedbridge_daemon.serving.metrics_registry import MetricsRegistry
 from knapweedbridge_daemon.serving.own_records import read_own
 from knapweedbridge_daemon.serving.store_follower import StoreFollower
 from knapweedbridge_daemon.store import StoreItem
--- a/features/speeds/steps/learning_steps.py
+++ b/features/speeds/steps/learning_steps.py
@@ -17,7 +17,7 @@
     SpeedReports,
 )
 from knapweedbridge_daemon.serving.engine_observations import EngineObservations
-from knapweedbridge_daemon.serving.measures import MetricsRegistry
+from knapweedbridge_daemon.serving.metrics_registry import MetricsRegistry
 from knapweedbridge_daemon.serving.running_calls import RunningCalls
 from knapweedbridge_daemon.serving.speed_tracker import SpeedTracker
 
--- a/packages/daemon/src/knapweedbridge_daemon/serving/host.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/host.py
@@ -31,7 +31,7 @@
 from knapweedbridge_daemon.serving.hub import Hub, Identity
 from knapweedbridge_daemon.serving.lapse_check import LapseCheck
 from knapweedbridge_daemon.serving.lease_controller import LeaseController
-from knapweedbridge_daemon.serving.measures import MetricsRegistry
+from knapweedbridge_daemon.serving.metrics_registry import MetricsRegistry
 from knapweedbridge_daemon.serving.peer_link import PeerLink
 from knapweedbridge_daemon.serving.refusal_records import RefusalRecords
 from knapweedbridge_daemon.serving.settings import ServingSettings
--- a/packages/daemon/src/knapweedbridge_daemon/serving/hub.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/hub.py
@@ -30,7 +30,7 @@
 from knapweedbridge_daemon.serving.dialects import Dialects
 from knapweedbridge_daemon.serving.first_byte_timeouts import FirstByteTimeouts
 from knapweedbridge_daemon.serving.http_client import ConnectionPool
-from knapweedbridge_daemon.serving.measures import MetricsRegistry
+from knapweedbridge_daemon.serving.metrics_registry import MetricsRegistry
 
 SETTLE_S = 3.0
 
--- a/packages/standins/src/knapweedbridge_standins/relay_pool/pool.py
+++ b/packages/standins/src/knapweedbridge_standins/relay_pool/pool.py
@@ -13,7 +13,7 @@
 from knapweedbridge_daemon.serving.hub import Hub, Identity
 from knapweedbridge_daemon.serving.lapse_check import LapseCheck
 from knapweedbridge_daemon.serving.lease_controller import LeaseController
-from knapweedbridge_daemon.serving.measures import MetricsRegistry
+from knapweedbridge_daemon.serving.metrics_registry import MetricsRegistry
 from knapweedbridge_daemon.serving.own_records import pack_daemon
 from knapweedbridge_daemon.serving.peer_link import PeerLink
 from knapweedbridge_daemon.serving.store_follower import StoreFollower
--- a/packages/standins/src/knapweedbridge_standins/serving_histories/stream_origins.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_histories/stream_origins.py
@@ -40,7 +40,7 @@
 from knapweedbridge_daemon.serving.call import Call
 from knapweedbridge_daemon.serving.dialects import CallDetails
 from knapweedbridge_daemon.serving.hub import Hub
-from knapweedbridge_daemon.serving.measures import MetricsRegistry
+from knapweedbridge_daemon.serving.metrics_registry import MetricsRegistry
 from knapweedbridge_daemon.serving.stream_resuming import (
     ANSWER_S,
     ASK_AGAIN_S,
