--- a/packages/daemon/src/knapweedbridge_daemon/serving/plain_counters.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/plain_counters.py
@@ -27,7 +27,7 @@
     return permit_coordinator(endpoint.name, endpoint.record.data_centre, candidates)
 
 
-class PlainCounters:
+class PlainLoadServer:
     """The counters of a few endpoints, and answers by them.
 
     Parameters
--- a/packages/daemon/src/knapweedbridge_daemon/serving/plain_counting.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/plain_counting.py
@@ -23,7 +23,10 @@
 from knapweedbridge_core.serving.plain_messages import PlainLoadReport
 from knapweedbridge_daemon.serving.hub import Hub, Send
 from knapweedbridge_daemon.serving.plain_asking import PlainLoadClient
-from knapweedbridge_daemon.serving.plain_counters import PlainCounters, load_coordinator
+from knapweedbridge_daemon.serving.plain_counters import (
+    PlainLoadServer,
+    load_coordinator,
+)
 from knapweedbridge_daemon.serving.plain_greeting import PlainMessage
 
 ANSWER_S = 0.03
@@ -51,7 +54,7 @@
         self._send = send
         self._calls: Counter[EndpointStart] = Counter()
         self._asking = PlainLoadClient(hub, send, self._calls)
-        self._counters = PlainCounters(hub, send)
+        self._counters = PlainLoadServer(hub, send)
 
     async def choose(
         self, ask: PlainAsk, endpoints: list[Endpoint], call_id: str = ""
