--- a/packages/daemon/src/knapweedbridge_daemon/serving/store_follower.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/store_follower.py
@@ -19,7 +19,7 @@
 from knapweedbridge_core.serving.messages import StoreUpdate
 from knapweedbridge_daemon.errors import StoreError
 from knapweedbridge_daemon.serving.hub import Hub
-from knapweedbridge_daemon.serving.item_reading import ItemReader
+from knapweedbridge_daemon.serving.item_reader import ItemReader
 from knapweedbridge_daemon.serving.store_calls import StoreCalls
 from knapweedbridge_daemon.serving.store_update_codec import unpack_items
 from knapweedbridge_daemon.store import HistoryGoneError, StoreItem
