--- a/bench/mutants_serving.py
+++ b/bench/mutants_serving.py
@@ -290,7 +290,7 @@
         [
             rewritten(
                 StreamResuming,
-                "begun",
+                "record_start",
                 (
                     "self._hub.cluster.fleet.software.has_several(call.service, now_s)",
                     "True",
--- a/packages/daemon/src/knapweedbridge_daemon/serving/stream_resuming.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/stream_resuming.py
@@ -92,7 +92,7 @@
         self._kept = OriginTable()
         self._published: tuple[frozenset[str], tuple[str, ...]] = (frozenset(), ())
 
-    async def begun(self, call: Call, endpoint: Endpoint) -> None:
+    async def record_start(self, call: Call, endpoint: Endpoint) -> None:
         """Record which version began a stream, before its first event is passed on."""
         call.software = endpoint.record.software
         stream = call.details.stream_id
--- a/packages/standins/src/knapweedbridge_standins/serving_histories/stream_origins.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_histories/stream_origins.py
@@ -608,7 +608,7 @@
         start = server.started_ms
         if process.host.protocol >= PROTOCOL:
             endpoint = process.cluster.fleet.endpoints[server.name]
-            await process.resuming.begun(cast(Call, call), endpoint)
+            await process.resuming.record_start(cast(Call, call), endpoint)
         ends_s = anyio.current_time() + self._luck.uniform(0.3, 8.0)
         cut_s = anyio.current_time() + self._luck.expovariate(0.25)
         while anyio.current_time() < min(ends_s, stream.until_s):
