--- a/packages/core/src/knapweedbridge_core/bridge.py
+++ b/packages/core/src/knapweedbridge_core/bridge.py
@@ -3,7 +3,6 @@
 from typing import Any
 
 from knapweedbridge_core.actions import Action
-from knapweedbridge_core.blame_side import BlameSide
 from knapweedbridge_core.claim_coordinator import ClaimCoordinator
 from knapweedbridge_core.claimant_side import ClaimantSide
 from knapweedbridge_core.configuration import Configuration
@@ -23,6 +22,7 @@
 from knapweedbridge_core.owned_endpoints import OwnedEndpoints
 from knapweedbridge_core.owner_side import OwnerSide
 from knapweedbridge_core.request_side import RequestSide
+from knapweedbridge_core.suspect_side import BlameSide
 from knapweedbridge_core.suspects import Blame
 from knapweedbridge_core.view import View
 
