--- a/features/paths/steps/tunnel_steps.py
+++ b/features/paths/steps/tunnel_steps.py
@@ -100,7 +100,7 @@
         paths=paths,
         draining=draining,
         log=Log(),
-        measures=MetricsRegistry(),
+        metrics=MetricsRegistry(),
     )
 
 
--- a/features/plain/steps/memory_steps.py
+++ b/features/plain/steps/memory_steps.py
@@ -121,7 +121,7 @@
 def request_gets(context, body, answer, reads):
     hub = SimpleNamespace(
         memory=context.budget,
-        measures=MetricsRegistry(),
+        metrics=MetricsRegistry(),
         log=SimpleNamespace(info=lambda kind, **fields: None),
         dialects=SimpleNamespace(callers=PlatformCallers()),
     )
--- a/features/prompt_parts/steps/ledger_steps.py
+++ b/features/prompt_parts/steps/ledger_steps.py
@@ -248,7 +248,7 @@
         cluster=cluster,
         identity=SimpleNamespace(name="host-0"),
         log=Nowhere(),
-        measures=Nowhere(),
+        metrics=Nowhere(),
     )
     calls = [
         LostCall("r1", ("a1", "a2", "a3")),
--- a/features/serving/steps/kept_view_steps.py
+++ b/features/serving/steps/kept_view_steps.py
@@ -67,7 +67,7 @@
         lease=LeaseClock(float("inf")),
         load_times=LoadTimes(),
         rates=LearnedRates(),
-        measures=MetricsRegistry(),
+        metrics=MetricsRegistry(),
         log=Log(),
         engine_limits=DEPLOYMENT.engine_limits,
         longest_pause_s=lambda service: None,
--- a/features/serving/steps/log_steps.py
+++ b/features/serving/steps/log_steps.py
@@ -91,14 +91,14 @@
 
 @when("calls, attempts and durations were measured")
 def measured(context):
-    measures = MetricsRegistry()
+    metrics = MetricsRegistry()
     for kind in ("answered", "answered", "overloaded"):
-        measures.count("requests", kind)
-    measures.count("attempts", "broken")
-    measures.time("request_seconds", 0.03)
-    measures.time("request_seconds", 99.0)
-    measures.gauges["daemons"] = 3
-    context.page = measures.render().decode()
+        metrics.count("requests", kind)
+    metrics.count("attempts", "broken")
+    metrics.time("request_seconds", 0.03)
+    metrics.time("request_seconds", 99.0)
+    metrics.gauges["daemons"] = 3
+    context.page = metrics.render().decode()
 
 
 @then("the page holds each counter and histogram once")
--- a/features/serving/steps/restart_steps.py
+++ b/features/serving/steps/restart_steps.py
@@ -246,7 +246,7 @@
     context.hub = SimpleNamespace(
         dialects=SimpleNamespace(store_items=PlatformItems(), own_keys=OwnKeys()),
         cluster=ClusterState(),
-        measures=MetricsRegistry(),
+        metrics=MetricsRegistry(),
         log=context.lines,
         outage=StoreOutage(3.0),
         store_age=StoreAge(),
--- a/features/speeds/steps/learning_steps.py
+++ b/features/speeds/steps/learning_steps.py
@@ -182,7 +182,7 @@
         rates=rates,
         log=log,
         lines=lines,
-        measures=MetricsRegistry(),
+        metrics=MetricsRegistry(),
     )
 
 
--- a/packages/daemon/src/knapweedbridge_daemon/serving/admin_handlers.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/admin_handlers.py
@@ -33,9 +33,9 @@
 
     async def metrics(self, request: ReceivedRequest, responder: Responder) -> None:
         """Serve all counters and histograms."""
-        self._hub.measures.gauges.update(self.gauges())
+        self._hub.metrics.gauges.update(self.gauges())
         kind = (b"Content-Type", b"text/plain; version=0.0.4")
-        body = await anyio.to_thread.run_sync(self._hub.measures.render)
+        body = await anyio.to_thread.run_sync(self._hub.metrics.render)
         await responder.answer(200, [kind], body)
 
     def gauges(self) -> dict[str, float]:
--- a/packages/daemon/src/knapweedbridge_daemon/serving/admission_records.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/admission_records.py
@@ -57,7 +57,7 @@
         retry_after_s: float | None = None,
     ) -> None:
         rank = min(RANKS, call.route.urgency)
-        self._hub.measures.count("overdue_calls", f"{decision}_{rank}")
+        self._hub.metrics.count("overdue_calls", f"{decision}_{rank}")
         if retry_after_s is not None:
             retry_after_s = round(retry_after_s, 3)
         self._hub.log.info(
--- a/packages/daemon/src/knapweedbridge_daemon/serving/attempt_records.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/attempt_records.py
@@ -117,7 +117,7 @@
         """Note that the first event has just come, and have the engine's owner told."""
         forecast.first_superseded_s = self._superseded_for_s(call, forecast)
         if forecast.first_superseded_s is not None:
-            self._hub.measures.time("superseded_seconds", forecast.first_superseded_s)
+            self._hub.metrics.time("superseded_seconds", forecast.first_superseded_s)
         if forecast.first_s is None or forecast.slot_wait_s:
             return
         if call.details.model is not None:
@@ -148,7 +148,7 @@
         self._hub.rates.record_first_event(
             endpoint, call.details.prompt_tokens, forecast.unread_tokens, took_s, now_s
         )
-        self._hub.measures.time(
+        self._hub.metrics.time(
             "forecast_error_seconds",
             abs(first_s - forecast.began_s - forecast.expected_s),
         )
@@ -179,7 +179,7 @@
         if end not in (AttemptEnd.ABANDONED, AttemptEnd.WITHHELD):
             failed = end in (AttemptEnd.FAILED, AttemptEnd.BROKEN)
             target.endpoint.record_result(failed, now_s)
-        self._hub.measures.count("attempts", end.value)
+        self._hub.metrics.count("attempts", end.value)
         self._hub.log.info(
             "attempt.ended",
             request=call.details.call_id,
--- a/packages/daemon/src/knapweedbridge_daemon/serving/backpressure_recorder.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/backpressure_recorder.py
@@ -42,7 +42,7 @@
 
     def _take_leaving(self, endpoint: Endpoint, answer: AnswerHead) -> None:
         if answer.leaves and endpoint.pressure.record_draining():
-            self._hub.measures.count("endpoint_leavings")
+            self._hub.metrics.count("endpoint_leavings")
             self._hub.log.info("endpoint.leaving", endpoint=endpoint.name)
             self._hub.engines_changed.tell()
 
@@ -50,7 +50,7 @@
         if answer.rest_s is None:
             return
         endpoint.pressure.record_pause(answer.rest_s, anyio.current_time())
-        self._hub.measures.count("endpoint_rests")
+        self._hub.metrics.count("endpoint_rests")
         self._hub.log.info(
             "endpoint.resting", endpoint=endpoint.name, rest_s=answer.rest_s
         )
@@ -68,7 +68,7 @@
         before_per_s = endpoint.pressure.limit_per_s
         if not endpoint.pressure.update_limit(answer.limit_per_s, anyio.current_time()):
             return
-        self._hub.measures.count(
+        self._hub.metrics.count(
             "endpoint_limits", "ended" if answer.limit_per_s is None else "named"
         )
         self._hub.log.info(
--- a/packages/daemon/src/knapweedbridge_daemon/serving/blame_notifier.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/blame_notifier.py
@@ -55,7 +55,7 @@
     ) -> None:
         """Notify other hosts of what endpoints were lost with, and log it."""
         for loss, held in found.items():
-            self._hub.measures.count("calls_blamed", value=len(held.marks))
+            self._hub.metrics.count("calls_blamed", value=len(held.marks))
             self._hub.log.info(
                 "calls.blamed",
                 endpoint=loss.partition(" ")[0],
--- a/packages/daemon/src/knapweedbridge_daemon/serving/callers_app.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/callers_app.py
@@ -66,12 +66,12 @@
 
     def count_bad(self, error: BadRequestError) -> None:
         """Count a request that could not be read."""
-        self._hub.measures.count("bad_requests", str(error.status))
+        self._hub.metrics.count("bad_requests", str(error.status))
         self._hub.log.info("request.bad", status=error.status, error=str(error))
 
     def count_fault(self, error: Exception) -> None:
         """Count an error of the daemon's own code, with its place."""
-        self._hub.measures.count("internal_errors")
+        self._hub.metrics.count("internal_errors")
         while isinstance(error, ExceptionGroup):
             error = error.exceptions[0]
         places = "".join(traceback.format_exception(error)[-LAST_PLACES:])
@@ -121,7 +121,7 @@
         refusal: Refusal,
         details: CallDetails,
     ) -> None:
-        self._hub.measures.count("requests", refusal.reason)
+        self._hub.metrics.count("requests", refusal.reason)
         deployment = self._hub.cluster.deployment
         self._hub.log.info(
             "request.refused",
@@ -230,13 +230,13 @@
 
     def _note(self, call: Call, outcome: str, version: int) -> None:
         now_s = anyio.current_time()
-        self._hub.measures.count("requests", outcome)
-        self._hub.measures.time("request_seconds", now_s - call.request.received_s)
+        self._hub.metrics.count("requests", outcome)
+        self._hub.metrics.time("request_seconds", now_s - call.request.received_s)
         first_s = call.first_event_s
         if first_s is not None:
             first_s = round(first_s - call.request.received_s, 4)
-            self._hub.measures.time("first_event_seconds", first_s)
-            self._hub.measures.time("longest_pause_seconds", call.longest_pause_s)
+            self._hub.metrics.time("first_event_seconds", first_s)
+            self._hub.metrics.time("longest_pause_seconds", call.longest_pause_s)
         self._hub.log.info(
             "request.ended",
             request=call.details.call_id,
--- a/packages/daemon/src/knapweedbridge_daemon/serving/calls.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/calls.py
@@ -112,7 +112,7 @@
         before = hub.budget.allowance(call.service, now_s)
         is_granted = hub.budget.spend(call.service, now_s)
         call.holds_repeat = is_granted
-        hub.measures.count("repeats", "granted" if is_granted else "denied")
+        hub.metrics.count("repeats", "granted" if is_granted else "denied")
         hub.log.info(
             "repeat.granted" if is_granted else "repeat.denied",
             request=call.details.call_id,
--- a/packages/daemon/src/knapweedbridge_daemon/serving/crash_watch.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/crash_watch.py
@@ -241,7 +241,7 @@
             self._hub.log.info(
                 "endpoint.not_probed", endpoint=endpoint.name, error=str(error)
             )
-        self._hub.measures.count("probes", cause or "nothing_found")
+        self._hub.metrics.count("probes", cause or "nothing_found")
         if cause:
             endpoint.record_unreachable(loop_time_s())
             await self.endpoint_lost(endpoint.name, cause, endpoint.start.started_ms)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/endpoint_connector.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/endpoint_connector.py
@@ -240,7 +240,7 @@
     def _note_cut(self, attempt: DirectAttempt) -> None:
         destination = attempt.destination
         if self._hub.paths.record_cut(destination.address, loop_time_s()):
-            self._hub.measures.count("paths_cut")
+            self._hub.metrics.count("paths_cut")
             self._hub.log.info(
                 "path.cut",
                 endpoint=destination.endpoint,
--- a/packages/daemon/src/knapweedbridge_daemon/serving/engine_owner.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/engine_owner.py
@@ -270,7 +270,7 @@
     async def _ask_report(self) -> None:
         record = self.endpoint.record
         request = self._hub.dialects.endpoints.report(record.address)
-        self._hub.measures.count("reports")
+        self._hub.metrics.count("reports")
         try:
             head, body = await self._exchange(request, REPORT_TIMEOUT_S)
             if head.status != 200:
@@ -343,7 +343,7 @@
         self._updates.mark_adapters_changed()
         if order.kind is OrderKind.LOAD and answer is not OrderAnswer.UNKNOWN:
             self._updates.record_load_ordered(order.model)
-        hub.measures.count("orders", f"{order.kind.value}_{answer.value}")
+        hub.metrics.count("orders", f"{order.kind.value}_{answer.value}")
         hub.log.info(
             "engine.ordered",
             engine=self.endpoint.name,
--- a/packages/daemon/src/knapweedbridge_daemon/serving/forwarding.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/forwarding.py
@@ -82,7 +82,7 @@
     async def _refuse(
         self, host: str, stream: PeerSocket, asked: TunnelRequest, reason: str
     ) -> None:
-        self._hub.measures.count("tunnels_asked", reason)
+        self._hub.metrics.count("tunnels_asked", reason)
         self._hub.log.info(
             "tunnel.not_carried", host=host, endpoint=asked.endpoint, reason=reason
         )
@@ -105,7 +105,7 @@
         with contextlib.closing(upstream):
             set_options(stream.raw)
             self._hub.paths.record_direct(asked.address, loop_time_s())
-            self._hub.measures.count("tunnels_asked", "carried")
+            self._hub.metrics.count("tunnels_asked", "carried")
             await stream.send(encode(TunnelOpened(self.tunnels)))
             await self._carry(stream, upstream)
 
--- a/packages/daemon/src/knapweedbridge_daemon/serving/held_memory.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/held_memory.py
@@ -62,7 +62,7 @@
         """
         if not self._budget.must_refuse(body_bytes):
             return None
-        self._hub.measures.count("requests", "no_memory")
+        self._hub.metrics.count("requests", "no_memory")
         self._hub.log.info(
             "request.no_memory",
             body_bytes=body_bytes,
@@ -112,7 +112,7 @@
             readers = self._budget.silent_readers(anyio.current_time())
             if not readers:
                 continue
-            self._hub.measures.count("silent_readers", "disconnected", len(readers))
+            self._hub.metrics.count("silent_readers", "disconnected", len(readers))
             self._hub.log.info(
                 "callers.read_nothing",
                 callers=len(readers),
--- a/packages/daemon/src/knapweedbridge_daemon/serving/hub.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/hub.py
@@ -118,7 +118,7 @@
     dialects: Dialects
     budget: RetryBudget
     log: DecisionLog
-    measures: MetricsRegistry
+    metrics: MetricsRegistry
     pool: ConnectionPool = field(default_factory=ConnectionPool)
     paths: EndpointPaths = field(default_factory=EndpointPaths)
     cluster: ClusterState = field(default_factory=ClusterState)
@@ -158,7 +158,7 @@
             return
         if self.synced:
             self.log.error("store.came_back_older", era=era, before=self.store_era)
-            self.measures.count("store_eras")
+            self.metrics.count("store_eras")
             self.lease.record_loss()
             self.lease_revision = sys.maxsize
             self.outage.record_rollback(anyio.current_time())
--- a/packages/daemon/src/knapweedbridge_daemon/serving/item_reader.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/item_reader.py
@@ -44,7 +44,7 @@
         return dialects.store_items.read(item.key, item.value, item.revision)
 
     def _note_unreadable(self, item: StoreItem, cause: str) -> None:
-        self._hub.measures.count("store_unreadable")
+        self._hub.metrics.count("store_unreadable")
         # Another writer may repeat itself each second: one line tells it.
         if item.key not in self._unreadable:
             self._unreadable.add(item.key)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
@@ -104,7 +104,7 @@
         if daemon == self._hub.identity.name:
             await self._take(daemon, message)
         elif not understands(self._hub.cluster.protocol_of(daemon), message):
-            self._hub.measures.count("messages_withheld")
+            self._hub.metrics.count("messages_withheld")
         elif self._peers is not None:
             self._peers.send(daemon, message)
 
--- a/packages/daemon/src/knapweedbridge_daemon/serving/permits.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/permits.py
@@ -114,7 +114,7 @@
         self, endpoint: Endpoint, ticket: int, asked: PermitRequest | CapacityRequest
     ) -> bool:
         wait_s = await self._ask(endpoint, ticket, asked)
-        self._hub.measures.count("permits", "refused" if wait_s else "taken")
+        self._hub.metrics.count("permits", "refused" if wait_s else "taken")
         if wait_s:
             until_s = anyio.current_time() + wait_s
             endpoint.pressure.record_no_permit(until_s)
@@ -135,7 +135,7 @@
         finally:
             del self._questions[ticket]
         if not question.answered.is_set():
-            self._hub.measures.count("permits", "unanswered")
+            self._hub.metrics.count("permits", "unanswered")
         return question.wait_s
 
     def _keeper(self, endpoint: Endpoint) -> str | None:
@@ -235,7 +235,7 @@
     ) -> None:
         room, now_s = self._room(endpoint), anyio.current_time()
         wait_s = room.take(message.turned_away_per_s, now_s)
-        self._hub.measures.count("permits", "not_given" if wait_s else "given")
+        self._hub.metrics.count("permits", "not_given" if wait_s else "given")
         answer = PermitResponse(endpoint.name, message.ticket, wait_s)
         await self._send(daemon, answer)
 
@@ -257,7 +257,7 @@
         if isinstance(message, PermitRequest):
             leased = self._hub.lease.may_order(suspended_clock_s())
             wait_s = pacer.take(now_s, 1.0 if leased else UNLEASED_SHARE)
-            self._hub.measures.count("permits", "not_given" if wait_s else "given")
+            self._hub.metrics.count("permits", "not_given" if wait_s else "given")
             answer = PermitResponse(endpoint.name, message.ticket, wait_s)
             await self._send(daemon, answer)
 
--- a/packages/daemon/src/knapweedbridge_daemon/serving/plain_asking.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/plain_asking.py
@@ -116,7 +116,7 @@
     def _note_silent(self, endpoint: Endpoint, keeper: str) -> None:
         now_s = anyio.current_time()
         self._asked_not_before_s[keeper] = now_s + SILENT_S
-        self._hub.measures.count("plain_questions", "unanswered")
+        self._hub.metrics.count("plain_questions", "unanswered")
         self._hub.log.info("plain.unanswered", endpoint=endpoint.name, daemon=keeper)
 
     async def _may_ask(self, keeper: str) -> bool:
@@ -158,6 +158,6 @@
         state = PlainState(running, message.work_s, message.typical_s)
         question.found[endpoint.name] = state
         self._known[endpoint.name] = Known(anyio.current_time(), state)
-        self._hub.measures.count("plain_questions", "answered")
+        self._hub.metrics.count("plain_questions", "answered")
         if not question.asked:
             question.answered.set()
--- a/packages/daemon/src/knapweedbridge_daemon/serving/plain_counters.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/plain_counters.py
@@ -76,7 +76,7 @@
             return
         counter.take(daemon, message.calls, now_s)
         state = counter.state(now_s, asker=daemon)
-        self._hub.measures.count("plain_questions", "given")
+        self._hub.metrics.count("plain_questions", "given")
         answer = PlainLoadResponse(
             endpoint.name, message.ticket, state.running, state.work_s, state.typical_s
         )
--- a/packages/daemon/src/knapweedbridge_daemon/serving/plain_counting.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/plain_counting.py
@@ -94,18 +94,18 @@
         until_s = now_s + ANSWER_S
         found = await self._asking.ask([first], until_s)
         if not found:
-            self._hub.measures.count("plain_choices", "own_counts")
+            self._hub.metrics.count("plain_choices", "own_counts")
             return first
         found[first.name] = self._without_new(found[first.name])
         states = {**self._asking.known(), **found}
         if is_clearly_best(ask, first, endpoints, states, anyio.current_time()):
-            self._hub.measures.count("plain_choices", "first")
+            self._hub.metrics.count("plain_choices", "first")
             return first
         others = self._others(ask, first, endpoints)
         found |= await self._asking.ask(others, until_s)
         now_s = anyio.current_time()
         chosen = choose_counted(ask, [first, *others], found, now_s) or first
-        self._hub.measures.count(
+        self._hub.metrics.count(
             "plain_choices", "first" if chosen is first else "another"
         )
         if chosen is not first:
--- a/packages/daemon/src/knapweedbridge_daemon/serving/quota_shares.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/quota_shares.py
@@ -107,7 +107,7 @@
             self.parts.keepers(account)
         )
         wait_s = purse.held.wait_s(anyio.current_time())
-        self._hub.measures.count(
+        self._hub.metrics.count(
             "quota", "silent" if has_silent_coordinator else "refused"
         )
         self._hub.log.info(
@@ -128,7 +128,7 @@
             if now_s - purse.asked_s < ANSWER_S:
                 return
             purse.held.unanswered(purse.asked, now_s)
-            self._hub.measures.count("quota", "unanswered")
+            self._hub.metrics.count("quota", "unanswered")
         able = self.parts.keepers(account)
         keeper = purse.held.next_coordinator(able, now_s)
         purse.asked = keeper or ""
@@ -137,7 +137,7 @@
                 self._refuse_waiting(purse)
             return
         purse.asked_s = now_s
-        self._hub.measures.count("quota", "asked")
+        self._hub.metrics.count("quota", "asked")
         await self._send(keeper, self._question(account, purse, now_s))
 
     @staticmethod
@@ -170,7 +170,7 @@
 
     async def _asked(self, daemon: str, message: QuotaRequest) -> None:
         given = self.parts.give(message)
-        self._hub.measures.count("quota", "given" if given.units else "not_given")
+        self._hub.metrics.count("quota", "given" if given.units else "not_given")
         answer = QuotaResponse(
             message.account, given.units, given.wait_s, given.is_known
         )
@@ -187,7 +187,7 @@
             )
         else:
             purse.held.unanswered(keeper, now_s)
-            self._hub.measures.count("quota", "unknown")
+            self._hub.metrics.count("quota", "unknown")
         self._serve(purse)
         if purse.asked == keeper:
             purse.asked = ""
--- a/packages/daemon/src/knapweedbridge_daemon/serving/speed_tracker.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/speed_tracker.py
@@ -42,7 +42,7 @@
         if not (self._learns and (message.first_events or message.gaps)):
             return
         self._reports.take(daemon, message.first_events, message.gaps, now_s)
-        self._hub.measures.count("engine_observations")
+        self._hub.metrics.count("engine_observations")
         if now_s - self._looked_s >= LOOK_S:
             self._looked_s = now_s
             self._log_change()
@@ -64,4 +64,4 @@
     def _count_spell(self, now_s: float) -> None:
         before, self._in_spell = self._in_spell, self._speed.is_in_slow_period(now_s)
         if self._in_spell and not before:
-            self._hub.measures.count("engine_slow_spells")
+            self._hub.metrics.count("engine_slow_spells")
--- a/packages/daemon/src/knapweedbridge_daemon/serving/store_calls.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/store_calls.py
@@ -50,7 +50,7 @@
         if not self._failures:
             self._hub.log.error("store.lost", error=str(error))
         self._failures += 1
-        self._hub.measures.count("store_failures")
+        self._hub.metrics.count("store_failures")
         self._hub.outage.failed(self._began_s)
         took_s = anyio.current_time() - self._began_s
         longest_s = max(FIRST_PAUSE_S, CALL_EVERY_S - took_s)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/stream_resuming.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/stream_resuming.py
@@ -160,7 +160,7 @@
             row = [stream, origin.service, origin.software, origin.until_s - now_s]
             for keeper in origin_keepers(stream, candidates):
                 rows[keeper].append(row)
-        self._hub.measures.count("stream_origins_recorded", value=len(streams))
+        self._hub.metrics.count("stream_origins_recorded", value=len(streams))
         for keeper, of_keeper in rows.items():
             if keeper == self._hub.identity.name:
                 continue
@@ -182,7 +182,7 @@
         refusal: Refusal | None = None
         if software is None:
             refusal = Refusal(503, "origin_unknown", UNKNOWN_AFTER_S)
-        self._hub.measures.count("streams_resumed", source)
+        self._hub.metrics.count("streams_resumed", source)
         self._hub.log.info(
             "stream.resumed",
             request=call.details.call_id,
--- a/packages/daemon/src/knapweedbridge_daemon/serving/tunnels.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/tunnels.py
@@ -261,7 +261,7 @@
             return
         if isinstance(answer, TunnelOpened):
             self._forwarders.record_opened(name, answer.tunnels)
-            self._hub.measures.count("tunnels", "opened")
+            self._hub.metrics.count("tunnels", "opened")
             race.opened(stream)
             return
         stream.close()
@@ -271,7 +271,7 @@
 
     def _note_refused(self, name: str, destination: Destination, cause: str) -> None:
         self._forwarders.record_refused(name, loop_time_s())
-        self._hub.measures.count("tunnels", "refused")
+        self._hub.metrics.count("tunnels", "refused")
         self._hub.log.info(
             "tunnel.refused",
             forwarder=name,
--- a/packages/standins/src/knapweedbridge_standins/serving_histories/stream_origins.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_histories/stream_origins.py
@@ -194,7 +194,7 @@
         self.is_alive = True
         self.next_read_s = 0.0
         self._pool = pool
-        self.measures = MetricsRegistry()
+        self.metrics = MetricsRegistry()
         hub = _Hub(self)
         self.resuming = StreamResuming(cast(Hub, hub), partial(pool.send, self))
 
@@ -249,7 +249,7 @@
         self._process = process
         self.cluster = process.cluster
         self.identity = process.host
-        self.measures = process.measures
+        self.metrics = process.metrics
         self.log = SimpleNamespace(info=lambda *event, **fields: None)
 
     @property
@@ -657,7 +657,7 @@
         if (refusal is None) != (call.software is not None):
             self._break(now_s, stream, f"{refusal} at {call.software}")
         if call.software not in (None, stream.software):
-            where = f"{process.host.name}, {process.measures.counters}"
+            where = f"{process.host.name}, {process.metrics.counters}"
             self._break(now_s, stream, f"joined to {call.software} at {where}")
         self._note(process, stream, call, began_s, is_upgraded)
         return call if refusal is None else None
