--- a/features/accounts/steps/keeper_steps.py
+++ b/features/accounts/steps/keeper_steps.py
@@ -15,7 +15,7 @@
 from knapweedbridge_core.serving.cluster_state import DaemonNamed, DeploymentNamed
 from knapweedbridge_daemon.serving.hub import Hub, Identity
 from knapweedbridge_daemon.serving.metrics_registry import MetricsRegistry
-from knapweedbridge_daemon.serving.quota_shares import QuotaShares
+from knapweedbridge_daemon.serving.quota_shares import AccountQuotas
 from knapweedbridge_standins.virtual_loop import run_virtually
 
 RATE = 4000
@@ -38,7 +38,7 @@
             self.hub.cluster.take(DaemonNamed(each), 0.0)
         self._peers = peers
         self._account = account
-        self.shares = QuotaShares(self.hub, self._send)
+        self.shares = AccountQuotas(self.hub, self._send)
         self.name_accounts(1, ())
         self.renew()
 
--- a/packages/daemon/src/knapweedbridge_daemon/serving/callers_app.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/callers_app.py
@@ -19,7 +19,7 @@
     Responder,
 )
 from knapweedbridge_daemon.serving.hub import Hub
-from knapweedbridge_daemon.serving.quota_shares import QuotaShares
+from knapweedbridge_daemon.serving.quota_shares import AccountQuotas
 from knapweedbridge_daemon.serving.wire import get_header
 
 STOPPING_AFTER_S = 0.05
@@ -46,11 +46,11 @@
         Beliefs, dialects and measures.
     runner : CallRunner
         Runs the calls.
-    shares : QuotaShares
+    shares : AccountQuotas
         What client accounts may use.
     """
 
-    def __init__(self, hub: Hub, runner: CallRunner, shares: QuotaShares) -> None:
+    def __init__(self, hub: Hub, runner: CallRunner, shares: AccountQuotas) -> None:
         self._hub = hub
         self._runner = runner
         self._shares = shares
--- a/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
@@ -30,7 +30,7 @@
 from knapweedbridge_daemon.serving.permits import PermitMessage, Permits
 from knapweedbridge_daemon.serving.plain_counting import PlainRouter
 from knapweedbridge_daemon.serving.plain_greeting import PlainMessage, is_plain_message
-from knapweedbridge_daemon.serving.quota_shares import QuotaShares
+from knapweedbridge_daemon.serving.quota_shares import AccountQuotas
 from knapweedbridge_daemon.serving.running_calls import RunningCalls
 from knapweedbridge_daemon.serving.store_update_codec import unpack_engines
 from knapweedbridge_daemon.serving.stream_resuming import OfOrigins, StreamResuming
@@ -71,7 +71,7 @@
         self.signs = BackpressureRecorder(hub, self.permits)
         self.forwarding = Forwarding(hub, tunnels)
         self.owners = EngineOwners(hub, self.send, self.permits, self.signs)
-        self.shares = QuotaShares(hub, self.send)
+        self.shares = AccountQuotas(hub, self.send)
         self.resuming = StreamResuming(hub, self.send)
         self.crashes = CrashWatch(hub, self.send)
         self._relays_asked_s: dict[str, float] = {}
--- a/packages/daemon/src/knapweedbridge_daemon/serving/quota_shares.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/quota_shares.py
@@ -47,7 +47,7 @@
     asked_s: float = 0.0
 
 
-class QuotaShares:
+class AccountQuotas:
     """The quotas of client accounts, as far as this daemon has to do with them.
 
     Parameters
