--- a/packages/daemon/src/knapweedbridge_daemon/serving/call_terms.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/call_terms.py
@@ -75,7 +75,7 @@
     ) -> CallTerms | Refusal:
         until_s = anyio.current_time() + LOOK_UP_S
         while anyio.current_time() < until_s:
-            await self._hub.beliefs_changed.wait(until_s - anyio.current_time())
+            await self._hub.cluster_changed.wait(until_s - anyio.current_time())
             found = self._known(request, details)
             if self._is_final(found):
                 return found
--- a/packages/daemon/src/knapweedbridge_daemon/serving/endpoint_connector.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/endpoint_connector.py
@@ -251,7 +251,7 @@
         self._notify_changes()
 
     def _notify_changes(self) -> None:
-        self._hub.beliefs_changed.tell()
+        self._hub.cluster_changed.tell()
         self._wake.set()
 
     async def run(self) -> None:
--- a/packages/daemon/src/knapweedbridge_daemon/serving/engine_owner.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/engine_owner.py
@@ -301,7 +301,7 @@
         if start.may_be(self.endpoint.start):
             return False
         if self._hub.cluster.fleet.restarted(start, anyio.current_time()):
-            self._hub.beliefs_changed.tell()
+            self._hub.cluster_changed.tell()
         return True
 
     async def _exchange(
--- a/packages/daemon/src/knapweedbridge_daemon/serving/engine_owners.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/engine_owners.py
@@ -64,7 +64,7 @@
         while True:
             self._drop_lost()
             self._take_new(tasks)
-            await self._hub.beliefs_changed.wait(WORK_S)
+            await self._hub.cluster_changed.wait(WORK_S)
 
     def _is_ours(self, record: OwnerRecord | None) -> bool:
         identity = self._hub.identity
--- a/packages/daemon/src/knapweedbridge_daemon/serving/hub.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/hub.py
@@ -130,7 +130,7 @@
     outage: StoreOutage = field(default_factory=lambda: StoreOutage(SETTLE_S))
     steady_s: Callable[[], float] = suspended_clock_s
     engines_changed: Changes = field(default_factory=Changes)
-    beliefs_changed: Changes = field(default_factory=Changes)
+    cluster_changed: Changes = field(default_factory=Changes)
     losses_changed: Changes = field(default_factory=Changes)
     lease_revision: int = 0
     store_era: int = 0
--- a/packages/daemon/src/knapweedbridge_daemon/serving/lapse_check.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/lapse_check.py
@@ -43,7 +43,7 @@
         while True:
             ends_s = fleet.lapse_ends_s(anyio.current_time())
             if ends_s is None:
-                await self._hub.beliefs_changed.wait(IDLE_S)
+                await self._hub.cluster_changed.wait(IDLE_S)
                 continue
             await anyio.sleep_until(ends_s - CHECK_BEFORE_S)
             ends_s = fleet.lapse_ends_s(anyio.current_time())
--- a/packages/daemon/src/knapweedbridge_daemon/serving/lease_controller.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/lease_controller.py
@@ -162,7 +162,7 @@
         self._lease = ""
         self._hub.lease.record_loss()
         self._hub.lease_revision = sys.maxsize
-        self._hub.beliefs_changed.tell()
+        self._hub.cluster_changed.tell()
 
     def _note_answer(self) -> None:
         self._hub.outage.answered(anyio.current_time())
@@ -179,7 +179,7 @@
     async def claim(self) -> None:
         """Claim engines that have no owner, until cancelled."""
         while True:
-            await self._hub.beliefs_changed.wait(LOOK_S)
+            await self._hub.cluster_changed.wait(LOOK_S)
             if self._hub.draining or not self._lease or not self._hub.synced:
                 continue
             await self._links.publish(self._lease)
@@ -326,4 +326,4 @@
                     )
                 except StoreError as error:
                     self._hub.log.error("secret.not_written", error=str(error))
-            await self._hub.beliefs_changed.wait(LOOK_S)
+            await self._hub.cluster_changed.wait(LOOK_S)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
@@ -111,7 +111,7 @@
     async def run(self, tasks: TaskGroup, address: tuple[str, int]) -> None:
         """Link with the daemons that are listed until cancelled."""
         while not self._hub.cluster.secret:
-            await self._hub.beliefs_changed.wait(1.0)
+            await self._hub.cluster_changed.wait(1.0)
         identity = self._hub.identity
         self._peers = Peers(
             identity.name,
@@ -142,7 +142,7 @@
             known = starts
             self.shares.parts.refresh()
             await self.resuming.refresh()
-            await self._hub.beliefs_changed.wait(5.0)
+            await self._hub.cluster_changed.wait(5.0)
 
     async def _submit(self, event: Any) -> None:
         if isinstance(event, PeerMessage):
--- a/packages/daemon/src/knapweedbridge_daemon/serving/software_records.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/software_records.py
@@ -33,7 +33,7 @@
     async def run(self) -> None:
         """Write what is missing until cancelled."""
         while True:
-            await self._hub.beliefs_changed.wait(LOOK_S)
+            await self._hub.cluster_changed.wait(LOOK_S)
             if self._hub.synced and self._hub.lease_revision:
                 await self._look()
 
--- a/packages/daemon/src/knapweedbridge_daemon/serving/store_follower.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/store_follower.py
@@ -292,7 +292,7 @@
         changed = [item for item in items if self._take_one(item, known_s)]
         self._to_tell.update(item.key for item in changed)
         if changed:
-            self._hub.beliefs_changed.tell()
+            self._hub.cluster_changed.tell()
             self._hub.engines_changed.tell()
         if changed and self._hub.cluster.fleet.has_losses:
             self._hub.losses_changed.tell()
