--- a/bench/placement.py
+++ b/bench/placement.py
@@ -303,8 +303,8 @@
 
 def decision_cost_us(adapters: int, waiting: int) -> float:
     """Measure one decision in microseconds with many adapters and waiters."""
+    from knapweedbridge_core.load_queue import Asker
     from knapweedbridge_core.names import AdapterVersion
-    from knapweedbridge_core.queueing import Asker
 
     stream = arrivals(replace(OKAVANGO, adapters=adapters), 50.0, 1000.0, 1, Faults())
     order = POLICIES[4].order(OKAVANGO, stream, 1)
--- a/bench/placement_model.py
+++ b/bench/placement_model.py
@@ -14,11 +14,11 @@
 
 from knapweedbridge_core.configuration import EndpointEntry
 from knapweedbridge_core.forecast import Forecast
+from knapweedbridge_core.load_queue import Asker
 from knapweedbridge_core.loads import LoadOrder, Pool
 from knapweedbridge_core.messages import EndpointUpdate
 from knapweedbridge_core.names import AdapterVersion
 from knapweedbridge_core.placement import Holder, Placement
-from knapweedbridge_core.queueing import Asker
 from knapweedbridge_core.view import View
 
 STEP_S = 0.02
--- a/packages/core/src/knapweedbridge_core/loads.py
+++ b/packages/core/src/knapweedbridge_core/loads.py
@@ -13,17 +13,17 @@
     Forecast,
     LastUse,
 )
-from knapweedbridge_core.messages import LoadPlaced, SlotWanted
-from knapweedbridge_core.names import AdapterVersion
-from knapweedbridge_core.policy import PlacementPolicy
-from knapweedbridge_core.pool import Pool
-from knapweedbridge_core.queueing import (
+from knapweedbridge_core.load_queue import (
     Asker,
     LoadPriority,
     LoadQueue,
     LongestWait,
     MostAwaited,
 )
+from knapweedbridge_core.messages import LoadPlaced, SlotWanted
+from knapweedbridge_core.names import AdapterVersion
+from knapweedbridge_core.policy import PlacementPolicy
+from knapweedbridge_core.pool import Pool
 from knapweedbridge_core.rate import LoadRate
 from knapweedbridge_core.retrying import FailedLoads
 from knapweedbridge_core.slot_survey import SlotSurvey
