--- a/features/compatibility/steps/wire_steps.py
+++ b/features/compatibility/steps/wire_steps.py
@@ -15,7 +15,7 @@
 from knapweedbridge_core.timeline import HybridClock
 from knapweedbridge_daemon import configurations
 from knapweedbridge_daemon.serving import own_records
-from knapweedbridge_daemon.serving.dialects import OwnKeys
+from knapweedbridge_daemon.serving.dialects import DaemonKeys
 from knapweedbridge_daemon.stamps import PeerClock
 from knapweedbridge_standins.memory_store import MemoryStore
 
@@ -25,7 +25,7 @@
 OWNER = owner_records.OwnerRecord("host-0", 3, 17)
 SECTIONS = {"team optics": {"share": "2"}, "adapter refill": {"team": "optics"}}
 DAEMON = DaemonRecord("host-0", 4, "127.0.0.1:7380", "hall-a", True)
-KEYS = OwnKeys()
+KEYS = DaemonKeys()
 
 
 def written_configuration():
--- a/features/plain/steps/entry_steps.py
+++ b/features/plain/steps/entry_steps.py
@@ -9,7 +9,7 @@
 
 from knapweedbridge_core.codec import encode
 from knapweedbridge_core.serving import RetryBudget
-from knapweedbridge_daemon.serving.dialects import OwnKeys
+from knapweedbridge_daemon.serving.dialects import DaemonKeys
 from knapweedbridge_daemon.serving.hub import Hub, Identity
 from knapweedbridge_daemon.serving.metrics_registry import MetricsRegistry
 from knapweedbridge_daemon.serving.store_follower import StoreFollower
@@ -115,7 +115,7 @@
 
 
 def make_follower():
-    dialects = SimpleNamespace(store_items=PlatformItems(), own_keys=OwnKeys())
+    dialects = SimpleNamespace(store_items=PlatformItems(), own_keys=DaemonKeys())
     hub = Hub(
         Identity("h1", 1, "d0", "a:1"),
         dialects,
--- a/features/serving/steps/restart_steps.py
+++ b/features/serving/steps/restart_steps.py
@@ -27,7 +27,7 @@
     OwnerNamed,
 )
 from knapweedbridge_core.serving.messages import EngineTold
-from knapweedbridge_daemon.serving.dialects import DialectError, OwnKeys
+from knapweedbridge_daemon.serving.dialects import DaemonKeys, DialectError
 from knapweedbridge_daemon.serving.metrics_registry import MetricsRegistry
 from knapweedbridge_daemon.serving.own_records import read_own
 from knapweedbridge_daemon.serving.store_follower import StoreFollower
@@ -244,7 +244,7 @@
 def a_and_b(context):
     context.lines = Lines()
     context.hub = SimpleNamespace(
-        dialects=SimpleNamespace(store_items=PlatformItems(), own_keys=OwnKeys()),
+        dialects=SimpleNamespace(store_items=PlatformItems(), own_keys=DaemonKeys()),
         cluster=ClusterState(),
         metrics=MetricsRegistry(),
         log=context.lines,
@@ -293,5 +293,5 @@
     packed = msgpack.packb(json.loads(value))
     read = None
     with suppress(DialectError):
-        read = read_own(OwnKeys(), f"{OwnKeys().prefix}{key}", packed, 5)
+        read = read_own(DaemonKeys(), f"{DaemonKeys().prefix}{key}", packed, 5)
     assert read is None, read
--- a/packages/daemon/src/knapweedbridge_daemon/serving/dialects.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/dialects.py
@@ -258,11 +258,11 @@
     endpoints: EndpointDialect
     store_items: StoreDialect
     store: RevisionedStore
-    own_keys: "OwnKeys" = field(default_factory=lambda: OwnKeys())
+    own_keys: "DaemonKeys" = field(default_factory=lambda: DaemonKeys())
 
 
 @dataclass(slots=True, frozen=True)
-class OwnKeys:
+class DaemonKeys:
     """Keys under which daemons keep what they agree on."""
 
     prefix: str = "knapweedbridge/"
--- a/packages/daemon/src/knapweedbridge_daemon/serving/own_records.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/own_records.py
@@ -17,7 +17,7 @@
     SoftwareRecorded,
     StoreEvent,
 )
-from knapweedbridge_daemon.serving.dialects import DialectError, OwnKeys
+from knapweedbridge_daemon.serving.dialects import DaemonKeys, DialectError
 
 
 def pack_daemon(record: DaemonRecord) -> bytes:
@@ -57,7 +57,7 @@
 
 
 def read_own(
-    keys: OwnKeys, key: str, value: bytes | None, revision: int
+    keys: DaemonKeys, key: str, value: bytes | None, revision: int
 ) -> StoreEvent | None:
     """Decode an item that daemons keep; raises DialectError."""
     kind, _, name = key.removeprefix(keys.prefix).partition("/")
--- a/packages/standins/src/knapweedbridge_standins/relay_pool/pool.py
+++ b/packages/standins/src/knapweedbridge_standins/relay_pool/pool.py
@@ -8,7 +8,7 @@
 
 from knapweedbridge_core.serving import DaemonRecord, RetryBudget
 from knapweedbridge_core.serving.cluster_state import DaemonNamed
-from knapweedbridge_daemon.serving.dialects import OwnKeys
+from knapweedbridge_daemon.serving.dialects import DaemonKeys
 from knapweedbridge_daemon.serving.endpoint_sweep import EndpointSweep
 from knapweedbridge_daemon.serving.hub import Hub, Identity
 from knapweedbridge_daemon.serving.lapse_check import LapseCheck
@@ -72,7 +72,7 @@
         dialects: Any = SimpleNamespace(
             store=ReachedStore(store, record.name),
             store_items=PlainItems(),
-            own_keys=OwnKeys(),
+            own_keys=DaemonKeys(),
         )
         log: Any = _NoLog()
         return Hub(
@@ -146,11 +146,11 @@
 
     def list_daemon(self, name: str) -> None:
         """Write a daemon's record."""
-        self.store.put(OwnKeys().daemon(name), pack_daemon(self.records[name]))
+        self.store.put(DaemonKeys().daemon(name), pack_daemon(self.records[name]))
 
     def unlist_daemon(self, name: str) -> None:
         """Take a daemon's record away, as where its lease lapsed."""
-        self.store.put(OwnKeys().daemon(name), None)
+        self.store.put(DaemonKeys().daemon(name), None)
 
     async def change(self, times_per_s: float) -> None:
         """Write entries of other endpoints until cancelled."""
