--- a/packages/daemon/src/knapweedbridge_daemon/serving/engine_owner.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/engine_owner.py
@@ -38,7 +38,7 @@
 from knapweedbridge_daemon.serving.hub import Hub, Send, suspended_clock_s
 from knapweedbridge_daemon.serving.permits import Permits
 from knapweedbridge_daemon.serving.speed_tracker import SpeedTracker
-from knapweedbridge_daemon.serving.turn_giving import TurnGiver
+from knapweedbridge_daemon.serving.turn_giving import TurnScheduler
 from knapweedbridge_daemon.serving.wake import Wake
 from knapweedbridge_daemon.serving.wire import ResponseHead, WireRequest
 
@@ -117,7 +117,9 @@
         self._speeds = SpeedTracker(hub, endpoint, self.keeper)
         self._updates = EngineUpdates(endpoint.start, record.number, self.keeper)
         long_prompts, speed = self.keeper.long_prompts, self.keeper.speed
-        self.turns = TurnGiver(hub, endpoint, record.number, long_prompts, send, speed)
+        self.turns = TurnScheduler(
+            hub, endpoint, record.number, long_prompts, send, speed
+        )
         self.scope = anyio.CancelScope()
 
     @property
--- a/packages/daemon/src/knapweedbridge_daemon/serving/turn_giving.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/turn_giving.py
@@ -21,7 +21,7 @@
 from knapweedbridge_daemon.serving.hub import Hub, Send
 
 
-class TurnGiver:
+class TurnScheduler:
     """The task that gives the prompts for one engine their turns.
 
     Parameters
