--- a/features/serving/steps/relay_steps.py
+++ b/features/serving/steps/relay_steps.py
@@ -109,7 +109,7 @@
         fleet.apply_snapshot if isinstance(message, EngineTold) else fleet.apply_update
     )
     assert take(message, now_s)
-    context.relaying.engine_told(message)
+    context.relaying.record_engine_update(message)
     return now_s
 
 
--- a/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
@@ -165,7 +165,7 @@
         if isinstance(message, EngineChanged):
             await self._take_changed(message)
         elif self._take_told(message, anyio.current_time()):
-            self.relaying.engine_told(message)
+            self.relaying.record_engine_update(message)
 
     async def _take_of_relay(
         self, daemon: str, message: StoreUpdate | StoreMark | RelayRequest
@@ -201,7 +201,7 @@
     async def _take_changed(self, message: EngineChanged) -> None:
         fleet = self._hub.cluster.fleet
         if self._take_change(message, anyio.current_time()):
-            self.relaying.engine_told(message)
+            self.relaying.record_engine_update(message)
         elif fleet.has_gap_before(message):
             endpoint = fleet.endpoints[message.endpoint]
             if endpoint.owner:
--- a/packages/daemon/src/knapweedbridge_daemon/serving/update_relay.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/update_relay.py
@@ -80,7 +80,7 @@
         identity, cluster = self._hub.identity, self._hub.cluster
         return identity.name in cluster.relays.get(identity.data_centre, ())
 
-    def engine_told(self, message: EngineTold | EngineChanged) -> None:
+    def record_engine_update(self, message: EngineTold | EngineChanged) -> None:
         """Take what an owner told this daemon itself, once it is believed here."""
         if message.of_all and self.is_relay:
             self._rows.append(message)
