--- a/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
@@ -33,7 +33,7 @@
 from knapweedbridge_daemon.serving.quota_shares import AccountQuotas
 from knapweedbridge_daemon.serving.running_calls import RunningCalls
 from knapweedbridge_daemon.serving.store_update_codec import unpack_engines
-from knapweedbridge_daemon.serving.stream_resuming import OfOrigins, StreamResuming
+from knapweedbridge_daemon.serving.stream_resuming import OfOrigins, StreamResumer
 from knapweedbridge_daemon.serving.turns import Turns
 from knapweedbridge_daemon.serving.update_relay import UpdateRelay
 
@@ -72,7 +72,7 @@
         self.forwarding = Forwarding(hub, tunnels)
         self.owners = EngineOwners(hub, self.send, self.permits, self.signs)
         self.shares = AccountQuotas(hub, self.send)
-        self.resuming = StreamResuming(hub, self.send)
+        self.resuming = StreamResumer(hub, self.send)
         self.crashes = CrashWatch(hub, self.send)
         self._relays_asked_s: dict[str, float] = {}
         self.on_store_update: Callable[[str, StoreUpdate], int] = lambda *told: 0
--- a/packages/daemon/src/knapweedbridge_daemon/serving/stream_resuming.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/stream_resuming.py
@@ -71,7 +71,7 @@
     decided: anyio.Event = field(default_factory=anyio.Event)
 
 
-class StreamResuming:
+class StreamResumer:
     """The origins of streams, as far as this daemon has to do with them.
 
     Parameters
--- a/packages/standins/src/knapweedbridge_standins/serving_histories/stream_origins.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_histories/stream_origins.py
@@ -45,7 +45,7 @@
     ANSWER_S,
     ASK_AGAIN_S,
     STARTING_S,
-    StreamResuming,
+    StreamResumer,
 )
 from knapweedbridge_standins.virtual_loop import run_virtually
 
@@ -196,7 +196,7 @@
         self._pool = pool
         self.metrics = MetricsRegistry()
         hub = _Hub(self)
-        self.resuming = StreamResuming(cast(Hub, hub), partial(pool.send, self))
+        self.resuming = StreamResumer(cast(Hub, hub), partial(pool.send, self))
 
     def record_last(self) -> tuple[int, int]:
         """Record one stream in each table; return how many each holds."""
