--- a/packages/core/src/knapweedbridge_core/loads.py
+++ b/packages/core/src/knapweedbridge_core/loads.py
@@ -7,6 +7,7 @@
 from knapweedbridge_core.consolidation import FullEngine, HeldAdapter, find_move
 from knapweedbridge_core.copies import SATURATES_AT, BeforeSaturation, Copies, OneCopy
 from knapweedbridge_core.eviction import Eviction, LeastExpected
+from knapweedbridge_core.failed_loads import FailedLoads
 from knapweedbridge_core.forecast import (
     ChangeAware,
     DecayedCount,
@@ -25,7 +26,6 @@
 from knapweedbridge_core.policy import PlacementPolicy
 from knapweedbridge_core.pool import Pool
 from knapweedbridge_core.rate import LoadRate
-from knapweedbridge_core.retrying import FailedLoads
 from knapweedbridge_core.slot_survey import SlotSurvey
 from knapweedbridge_core.slots import (
     SLACK_PER_S,
