--- a/features/plain/steps/entry_steps.py
+++ b/features/plain/steps/entry_steps.py
@@ -115,7 +115,7 @@
 
 
 def make_follower():
-    dialects = SimpleNamespace(store_items=PlatformItems(), own_keys=DaemonKeys())
+    dialects = SimpleNamespace(store_items=PlatformItems(), daemon_keys=DaemonKeys())
     hub = Hub(
         Identity("h1", 1, "d0", "a:1"),
         dialects,
--- a/features/serving/steps/restart_steps.py
+++ b/features/serving/steps/restart_steps.py
@@ -244,7 +244,7 @@
 def a_and_b(context):
     context.lines = Lines()
     context.hub = SimpleNamespace(
-        dialects=SimpleNamespace(store_items=PlatformItems(), own_keys=DaemonKeys()),
+        dialects=SimpleNamespace(store_items=PlatformItems(), daemon_keys=DaemonKeys()),
         cluster=ClusterState(),
         metrics=MetricsRegistry(),
         log=context.lines,
--- a/packages/daemon/src/knapweedbridge_daemon/serving/dialects.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/dialects.py
@@ -258,7 +258,7 @@
     endpoints: EndpointDialect
     store_items: StoreDialect
     store: RevisionedStore
-    own_keys: "DaemonKeys" = field(default_factory=lambda: DaemonKeys())
+    daemon_keys: "DaemonKeys" = field(default_factory=lambda: DaemonKeys())
 
 
 @dataclass(slots=True, frozen=True)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/item_reader.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/item_reader.py
@@ -39,8 +39,8 @@
 
     def _decode(self, item: StoreItem) -> StoreEvent | None:
         dialects = self._hub.dialects
-        if item.key.startswith(dialects.own_keys.prefix):
-            return read_own(dialects.own_keys, item.key, item.value, item.revision)
+        if item.key.startswith(dialects.daemon_keys.prefix):
+            return read_own(dialects.daemon_keys, item.key, item.value, item.revision)
         return dialects.store_items.read(item.key, item.value, item.revision)
 
     def _note_unreadable(self, item: StoreItem, cause: str) -> None:
--- a/packages/daemon/src/knapweedbridge_daemon/serving/lapse_check.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/lapse_check.py
@@ -81,7 +81,7 @@
         daemon away and serve the others.
         """
         store = self._hub.dialects.store
-        prefix = self._hub.dialects.own_keys.secret
+        prefix = self._hub.dialects.daemon_keys.secret
         asked_s = self._hub.steady_s()
         failures = 0
         while self._proved_s() <= asked_s:
--- a/packages/daemon/src/knapweedbridge_daemon/serving/lease_controller.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/lease_controller.py
@@ -147,7 +147,7 @@
             identity.data_centre,
             self._hub.draining,
         )
-        keys = self._hub.dialects.own_keys
+        keys = self._hub.dialects.daemon_keys
         puts = {
             keys.daemon(identity.name): pack_daemon(record),
             keys.protocol(identity.name): pack_protocol(identity.incarnation, PROTOCOL),
@@ -271,7 +271,7 @@
     async def _claim(self, endpoint: Endpoint) -> None:
         hub, now_s = self._hub, anyio.current_time()
         self._claimed_s[endpoint.name] = now_s
-        key = hub.dialects.own_keys.owner(endpoint.name)
+        key = hub.dialects.daemon_keys.owner(endpoint.name)
         known = hub.cluster.owners.get(endpoint.name)
         value = pack_owner(hub.identity.name, hub.identity.incarnation)
         transaction = Transaction(
@@ -316,7 +316,7 @@
 
     async def make_secret(self) -> None:
         """Write the secret that daemons share, where there is none yet."""
-        key = self._hub.dialects.own_keys.secret
+        key = self._hub.dialects.daemon_keys.secret
         while not self._hub.cluster.secret:
             if self._hub.synced:
                 value = secrets.token_bytes(SECRET_BYTES)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/lost_links.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/lost_links.py
@@ -18,7 +18,7 @@
     hub: Hub, engine: str, record: OwnerRecord, lease: str
 ) -> None:
     """Write that an engine has no owner; raises StoreError."""
-    key = hub.dialects.own_keys.owner(engine)
+    key = hub.dialects.daemon_keys.owner(engine)
     value = pack_owner("", hub.identity.incarnation)
     write = Transaction({key: record.number}, {key: value}, lease=lease)
     await hub.dialects.store.commit(write)
@@ -59,7 +59,7 @@
         has_lost_links = hub.paths.has_lost_links
         if has_lost_links == self._is_published:
             return
-        key = hub.dialects.own_keys.links(hub.identity.name)
+        key = hub.dialects.daemon_keys.links(hub.identity.name)
         write = Transaction(deletes=(key,))
         if has_lost_links:
             value = pack_links_lost(hub.identity.incarnation)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/refusal_records.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/refusal_records.py
@@ -98,7 +98,7 @@
             self._note("refusal.not_removed", mark, error=str(error))
 
     def _key(self, mark: str) -> str:
-        return self._hub.dialects.own_keys.refused_call(mark)
+        return self._hub.dialects.daemon_keys.refused_call(mark)
 
     def _note(self, kind: str, mark: str, **fields: object) -> None:
         self._hub.log.info(kind, mark=mark[:MARK_DIGITS], **fields)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/software_records.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/software_records.py
@@ -61,7 +61,7 @@
         return STEP_S * (place + sorted(ranks).index(identity.data_centre))
 
     async def _write(self, service: str, versions: set[str]) -> None:
-        key = self._hub.dialects.own_keys.software(service)
+        key = self._hub.dialects.daemon_keys.software(service)
         write = Transaction(deletes=(key,))
         if versions:
             write = Transaction(puts={key: pack_software(versions)})
--- a/packages/daemon/src/knapweedbridge_daemon/serving/store_follower.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/store_follower.py
@@ -274,7 +274,7 @@
             return
         self._hub.note_store_era(era)
         if self._hub.synced:
-            keys = self._hub.dialects.own_keys
+            keys = self._hub.dialects.daemon_keys
             self._settled_s = anyio.current_time() + LISTED_AGAIN_S
             daemons = self._hub.cluster.daemons
             self._missing = {keys.daemon(name) for name in daemons}
--- a/packages/standins/src/knapweedbridge_standins/relay_pool/pool.py
+++ b/packages/standins/src/knapweedbridge_standins/relay_pool/pool.py
@@ -72,7 +72,7 @@
         dialects: Any = SimpleNamespace(
             store=ReachedStore(store, record.name),
             store_items=PlainItems(),
-            own_keys=DaemonKeys(),
+            daemon_keys=DaemonKeys(),
         )
         log: Any = _NoLog()
         return Hub(
