--- a/features/plain/steps/memory_steps.py
+++ b/features/plain/steps/memory_steps.py
@@ -4,7 +4,7 @@
 from behave import given, then, when
 
 from knapweedbridge_core.serving import HeldKind, MemoryBudget
-from knapweedbridge_daemon.serving.held_memory import PIECE_BYTES, HeldMemory
+from knapweedbridge_daemon.serving.held_memory import PIECE_BYTES, MemoryGuard
 from knapweedbridge_daemon.serving.http_server import (
     CallerDisconnectedError,
     ReceivedRequest,
@@ -132,7 +132,7 @@
         await responder.end(content)
 
     async def story():
-        held = HeldMemory(hub)
+        held = MemoryGuard(hub)
         responder = SlowResponder(PAUSES_S[reads])
         head = RequestHead(b"POST", b"/", [])
         request = ReceivedRequest(head, b"x" * body * 1000, 0.0)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/held_memory.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/held_memory.py
@@ -25,7 +25,7 @@
 """Pause between looks for callers that read nothing."""
 
 
-class HeldMemory:
+class MemoryGuard:
     """Refuses requests, and disconnects callers, where too much is held.
 
     Parameters
@@ -130,14 +130,14 @@
     ----------
     responder : Responder
         Writes it; it awaits each write.
-    held : HeldMemory
+    held : MemoryGuard
         Counts what is not read yet.
     scope : CancelScope
         Ends the request where its caller is disconnected.
     """
 
     def __init__(
-        self, responder: Responder, held: HeldMemory, scope: anyio.CancelScope
+        self, responder: Responder, held: MemoryGuard, scope: anyio.CancelScope
     ) -> None:
         self._responder = responder
         self._held = held
--- a/packages/daemon/src/knapweedbridge_daemon/serving/host.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/host.py
@@ -26,7 +26,7 @@
 from knapweedbridge_daemon.serving.endpoint_connector import EndpointConnector
 from knapweedbridge_daemon.serving.endpoint_sweep import EndpointSweep
 from knapweedbridge_daemon.serving.forwarding import Forwarding
-from knapweedbridge_daemon.serving.held_memory import HeldMemory
+from knapweedbridge_daemon.serving.held_memory import MemoryGuard
 from knapweedbridge_daemon.serving.http_server import HttpServer
 from knapweedbridge_daemon.serving.hub import Hub, Identity
 from knapweedbridge_daemon.serving.lapse_check import LapseCheck
@@ -150,7 +150,7 @@
         link.on_store_update = follower.heard
         lease = LeaseController(hub, follower, link.owners.stop)
         app = CallersApp(hub, CallRunner(hub, link), link.shares)
-        held = HeldMemory(hub)
+        held = MemoryGuard(hub)
         handle = held.guard(app.handle)
         face = HttpServer(handle, app.limits, app.count_bad, app.count_fault)
         async with anyio.create_task_group() as callers:
