--- a/features/serving/steps/relay_steps.py
+++ b/features/serving/steps/relay_steps.py
@@ -115,7 +115,7 @@
 
 async def settle(context):
     """Bring the relay to where all its hearers were told all."""
-    context.relaying.store_changed(6, 7, [], anyio.current_time())
+    context.relaying.record_store_changes(6, 7, [], anyio.current_time())
     now_s = await owner_tells(context, told(1, of_all=True))
     await tell(context, now_s)
     return now_s
@@ -155,7 +155,7 @@
 def store_tells(context):
     async def story():
         now_s = await settle(context)
-        context.relaying.store_changed(7, 8, [HOST], anyio.current_time())
+        context.relaying.record_store_changes(7, 8, [HOST], anyio.current_time())
         await tell(context, now_s + 0.2)
 
     anyio.run(story)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/host.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/host.py
@@ -145,7 +145,7 @@
             hub,
             link.ask_relay,
             link.crashes.endpoint_unlisted,
-            link.relaying.store_changed,
+            link.relaying.record_store_changes,
         )
         link.on_store_update = follower.heard
         lease = LeaseController(hub, follower, link.owners.stop)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/update_relay.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/update_relay.py
@@ -85,7 +85,7 @@
         if message.of_all and self.is_relay:
             self._rows.append(message)
 
-    def store_changed(
+    def record_store_changes(
         self, since: int, revision: int, items: list[StoreItem], began_s: float
     ) -> None:
         """Take what the store told after a revision, up to another.
--- a/packages/standins/src/knapweedbridge_standins/relay_pool/pool.py
+++ b/packages/standins/src/knapweedbridge_standins/relay_pool/pool.py
@@ -62,7 +62,7 @@
             self.hub,
             self.link.ask_relay,
             self.link.crashes.endpoint_unlisted,
-            self.link.relaying.store_changed,
+            self.link.relaying.record_store_changes,
         )
         self.link.on_store_update = self.follower.heard
         wire.hear(record.name, self.link._take)
