--- a/bench/mutants_serving.py
+++ b/bench/mutants_serving.py
@@ -27,9 +27,9 @@
 from knapweedbridge_core.serving import store_eras as store_eras_module
 from knapweedbridge_core.serving import store_outage as store_outage_module
 from knapweedbridge_daemon.serving import permits as permits_module
-from knapweedbridge_daemon.serving import stream_resuming as stream_resuming_module
+from knapweedbridge_daemon.serving import stream_resumer as stream_resuming_module
 from knapweedbridge_daemon.serving.relay_log import RelayLog
-from knapweedbridge_daemon.serving.stream_resuming import StreamResumer
+from knapweedbridge_daemon.serving.stream_resumer import StreamResumer
 from knapweedbridge_standins.quota_pool import ways as ways_module
 from knapweedbridge_standins.serving_histories import repeats as repeats_module
 
--- a/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
@@ -33,7 +33,7 @@
 from knapweedbridge_daemon.serving.quota_shares import AccountQuotas
 from knapweedbridge_daemon.serving.running_calls import RunningCalls
 from knapweedbridge_daemon.serving.store_update_codec import unpack_engines
-from knapweedbridge_daemon.serving.stream_resuming import OfOrigins, StreamResumer
+from knapweedbridge_daemon.serving.stream_resumer import OfOrigins, StreamResumer
 from knapweedbridge_daemon.serving.turns import Turns
 from knapweedbridge_daemon.serving.update_relay import UpdateRelay
 
--- a/packages/standins/src/knapweedbridge_standins/serving_histories/stream_origins.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_histories/stream_origins.py
@@ -41,7 +41,7 @@
 from knapweedbridge_daemon.serving.dialects import CallDetails
 from knapweedbridge_daemon.serving.hub import Hub
 from knapweedbridge_daemon.serving.metrics_registry import MetricsRegistry
-from knapweedbridge_daemon.serving.stream_resuming import (
+from knapweedbridge_daemon.serving.stream_resumer import (
     ANSWER_S,
     ASK_AGAIN_S,
     STARTING_S,
