--- a/features/placement/steps/load_steps.py
+++ b/features/placement/steps/load_steps.py
@@ -2,11 +2,11 @@
 
 from knapweedbridge_core.configuration import EndpointEntry
 from knapweedbridge_core.load_queue import Asker
+from knapweedbridge_core.load_rate import share_of_rate
 from knapweedbridge_core.loads import LoadOrder, Pool
 from knapweedbridge_core.messages import EndpointUpdate
 from knapweedbridge_core.names import AdapterVersion
 from knapweedbridge_core.policy import PlacementPolicy
-from knapweedbridge_core.rate import share_of_rate
 from knapweedbridge_core.view import View
 
 
--- a/packages/core/src/knapweedbridge_core/load_side.py
+++ b/packages/core/src/knapweedbridge_core/load_side.py
@@ -4,10 +4,10 @@
 from knapweedbridge_core.context import Context, Handler, Side
 from knapweedbridge_core.forecast import ChangeAware
 from knapweedbridge_core.load_queue import Asker
+from knapweedbridge_core.load_rate import share_of_rate
 from knapweedbridge_core.loads import LoadOrder, Pool, Refusal
 from knapweedbridge_core.names import AdapterVersion
 from knapweedbridge_core.outcomes import Reason
-from knapweedbridge_core.rate import share_of_rate
 
 LOAD_ORDER_ROLE = "load-order"
 
--- a/packages/core/src/knapweedbridge_core/loads.py
+++ b/packages/core/src/knapweedbridge_core/loads.py
@@ -21,11 +21,11 @@
     LongestWait,
     MostAwaited,
 )
+from knapweedbridge_core.load_rate import LoadRate
 from knapweedbridge_core.messages import LoadPlaced, SlotWanted
 from knapweedbridge_core.names import AdapterVersion
 from knapweedbridge_core.policy import PlacementPolicy
 from knapweedbridge_core.pool import Pool
-from knapweedbridge_core.rate import LoadRate
 from knapweedbridge_core.slot_survey import SlotSurvey
 from knapweedbridge_core.slots import (
     SLACK_PER_S,
