--- a/packages/daemon/src/knapweedbridge_daemon/serving/dialects.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/dialects.py
@@ -48,7 +48,7 @@
         Ids and tokens of the parts of the prompt, in order.
     key_digest : str
         Digest of the key that it shows; empty where it shows none that can be read.
-    counts_told : bool
+    has_token_counts : bool
         Whether it tells how many tokens it asks for.
     resumes : str
         Id of the caller's attempt that brought the first event of the stream that this
@@ -64,7 +64,7 @@
     output_tokens: int = 0
     prompt_parts: tuple[tuple[str, int], ...] = ()
     key_digest: str = ""
-    counts_told: bool = False
+    has_token_counts: bool = False
     resumes: str = ""
     after_event: str | None = None
 
@@ -81,7 +81,9 @@
     @property
     def tokens(self) -> int | None:
         """Tokens of the prompt and the answer together; None: it tells none."""
-        return self.prompt_tokens + self.output_tokens if self.counts_told else None
+        return (
+            self.prompt_tokens + self.output_tokens if self.has_token_counts else None
+        )
 
 
 @dataclass(slots=True, frozen=True)
