--- a/features/paths/steps/tunnel_steps.py
+++ b/features/paths/steps/tunnel_steps.py
@@ -29,7 +29,7 @@
     ByteStream,
     connect_stream,
 )
-from knapweedbridge_daemon.serving.forwarding import Forwarding
+from knapweedbridge_daemon.serving.forwarding import TunnelForwarder
 from knapweedbridge_daemon.serving.http_client import (
     Destination,
     DirectConnector,
@@ -118,7 +118,7 @@
     hub = hub_of("host-1", "", paths_of(what), draining=what == "that drains")
     if "know the endpoint" in what:
         hub.cluster.fleet.endpoints.clear()
-    carried = Forwarding(hub, 0 if "too many" in what else 10)
+    carried = TunnelForwarder(hub, 0 if "too many" in what else 10)
     serve_tunnel = None if "no tunnels" in what else carried.serve
 
     async def story():
@@ -320,7 +320,7 @@
     async with AsyncExitStack() as stack:
         tasks = await stack.enter_async_context(anyio.create_task_group())
         endpoint = await listening(tasks, lambda stream: anyio.sleep_forever())
-        forwarding = Forwarding(forwarder_of(endpoint), 10)
+        forwarding = TunnelForwarder(forwarder_of(endpoint), 10)
 
         async def serve_tunnel(host, stream, asked):
             found["a forwarder to the host that asked"] = stream.raw
--- a/packages/daemon/src/knapweedbridge_daemon/serving/forwarding.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/forwarding.py
@@ -33,7 +33,7 @@
 """How long the asking host may take to read the last bytes of a tunnel."""
 
 
-class Forwarding:
+class TunnelForwarder:
     """The tunnels that this host carries.
 
     Parameters
--- a/packages/daemon/src/knapweedbridge_daemon/serving/host.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/host.py
@@ -25,7 +25,7 @@
 from knapweedbridge_daemon.serving.dialects import load_dialects
 from knapweedbridge_daemon.serving.endpoint_connector import EndpointConnector
 from knapweedbridge_daemon.serving.endpoint_sweep import EndpointSweep
-from knapweedbridge_daemon.serving.forwarding import Forwarding
+from knapweedbridge_daemon.serving.forwarding import TunnelForwarder
 from knapweedbridge_daemon.serving.held_memory import MemoryGuard
 from knapweedbridge_daemon.serving.http_server import HttpServer
 from knapweedbridge_daemon.serving.hub import Hub, Identity
@@ -210,7 +210,7 @@
         lease: LeaseController,
         face: HttpServer,
         app: CallersApp,
-        forwarding: Forwarding,
+        forwarding: TunnelForwarder,
     ) -> None:
         """Wait for a stop signal, and finish what is in flight.
 
@@ -247,7 +247,7 @@
         lease: LeaseController,
         face: HttpServer,
         app: CallersApp,
-        forwarding: Forwarding,
+        forwarding: TunnelForwarder,
     ) -> None:
         began_s = anyio.current_time()
         ends_s = began_s + self._settings.get("limits", "grace_s") - END_MARGIN_S
--- a/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
@@ -25,7 +25,7 @@
 from knapweedbridge_daemon.serving.backpressure_recorder import BackpressureRecorder
 from knapweedbridge_daemon.serving.crash_watch import CrashWatch, OfLosses
 from knapweedbridge_daemon.serving.engine_owners import EngineOwners, ToOwner
-from knapweedbridge_daemon.serving.forwarding import Forwarding
+from knapweedbridge_daemon.serving.forwarding import TunnelForwarder
 from knapweedbridge_daemon.serving.hub import Hub
 from knapweedbridge_daemon.serving.permits import PermitMessage, Permits
 from knapweedbridge_daemon.serving.plain_counting import PlainRouter
@@ -69,7 +69,7 @@
         self.permits = Permits(hub, self.send, self.relaying)
         self.plain = PlainRouter(hub, self.send)
         self.signs = BackpressureRecorder(hub, self.permits)
-        self.forwarding = Forwarding(hub, tunnels)
+        self.forwarding = TunnelForwarder(hub, tunnels)
         self.owners = EngineOwners(hub, self.send, self.permits, self.signs)
         self.shares = AccountQuotas(hub, self.send)
         self.resuming = StreamResumer(hub, self.send)
