--- a/features/wire/steps/event_steps.py
+++ b/features/wire/steps/event_steps.py
@@ -5,7 +5,7 @@
 from hypothesis import settings
 from hypothesis import strategies as st
 
-from knapweedbridge_daemon.serving.event_stream import EventCutter
+from knapweedbridge_daemon.serving.event_stream import EventSplitter
 
 EVENTS = st.sampled_from(
     [
@@ -50,7 +50,7 @@
         # Most chunks are one event each; some streams are cut at other places.
         ends = [sum(map(len, events[: n + 1])) for n in range(len(events))]
         bounds = [0, *sorted(data.draw(st.one_of(cuts, st.just(ends)))), len(stream)]
-        cutter, found, count, last_id = EventCutter(after), b"", 0, None
+        cutter, found, count, last_id = EventSplitter(after), b"", 0, None
         for start, end in zip(bounds, bounds[1:], strict=False):
             whole = cutter.feed(stream[start:end])
             found, count = found + whole.data, count + whole.count
--- a/packages/daemon/src/knapweedbridge_daemon/serving/attempting.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/attempting.py
@@ -17,7 +17,7 @@
 from knapweedbridge_daemon.serving.call import Call, KeptAnswer, Target
 from knapweedbridge_daemon.serving.clock import loop_time_s
 from knapweedbridge_daemon.serving.dialects import AnswerHead, AttemptDetails
-from knapweedbridge_daemon.serving.event_stream import EventCutter
+from knapweedbridge_daemon.serving.event_stream import EventSplitter
 from knapweedbridge_daemon.serving.first_byte_timeouts import (
     FirstByteTimeout,
     FirstByteTimeoutError,
@@ -306,7 +306,7 @@
         forecast: Forecast,
     ) -> AttemptEnd:
         resumed = call.progress.begun
-        cutter = EventCutter(call.last_event if resumed else None)
+        cutter = EventSplitter(call.last_event if resumed else None)
         send = call.responder.send
         async for chunk in connection.read_body():
             events = cutter.feed(chunk)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/event_stream.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/event_stream.py
@@ -52,7 +52,7 @@
     return WholeEvents(chunk, count, found[1].decode("latin-1"))
 
 
-class EventCutter:
+class EventSplitter:
     """Cuts the chunks of one answer into whole events.
 
     Parameters
