--- a/bench/overload_scenarios.py
+++ b/bench/overload_scenarios.py
@@ -11,14 +11,14 @@
 from knapweedbridge_core.configuration import Configuration, build
 from knapweedbridge_core.names import AdapterVersion, parse_adapter_version
 from knapweedbridge_core.outcomes import Complete, NotRun, Outcome, Reason
-from knapweedbridge_core.suspects import Blame, Verdict
+from knapweedbridge_core.suspects import SuspectTable, Verdict
 from knapweedbridge_standins.virtual_pool import FakeEngine, VirtualClock, VirtualPool
 
 MODEL = "refill@1"
 SEED = 11
 
 
-class NoBlame(Blame):
+class NoBlame(SuspectTable):
     """Baseline: nothing is held against anyone."""
 
     def judge(self, fingerprint: str, now_s: float) -> Verdict:
@@ -26,7 +26,7 @@
         return Verdict.FREE
 
 
-class NaiveBlame(Blame):
+class NaiveBlame(SuspectTable):
     """Baseline: two losses refuse, and suspects run beside each other."""
 
     def judge(self, fingerprint: str, now_s: float) -> Verdict:
@@ -35,14 +35,14 @@
         return Verdict.FREE if verdict is Verdict.ALONE else verdict
 
 
-BLAMES: dict[str, Callable[[], Blame]] = {
+BLAMES: dict[str, Callable[[], SuspectTable]] = {
     "no blame": NoBlame,
     "two losses, no quarantine": NaiveBlame,
-    "two losses, quarantine": Blame,
+    "two losses, quarantine": SuspectTable,
 }
 
 
-def bridge_maker(blame: Callable[[], Blame]) -> Callable[[str, str], Bridge]:
+def bridge_maker(blame: Callable[[], SuspectTable]) -> Callable[[str, str], Bridge]:
     """Return a maker of cores that keep blame in one way."""
 
     def make(host: str, data_centre: str) -> Bridge:
@@ -84,7 +84,7 @@
     batch: int = 16,
     service_s: Callable[[events.Request], float] = lambda request: 1.0,
     crashing: frozenset[str] = frozenset(),
-    blame: Callable[[], Blame] = Blame,
+    blame: Callable[[], SuspectTable] = SuspectTable,
     models: tuple[str, ...] = (MODEL,),
     extra: dict[str, dict[str, str]] | None = None,
     make_bridge: Callable[[str, str], Bridge] | None = None,
@@ -179,7 +179,7 @@
 
 
 def run_crashing(
-    blame: Callable[[], Blame],
+    blame: Callable[[], SuspectTable],
     *,
     innocents: int = 40,
     crashing: bool = True,
--- a/features/overload/steps/blame_steps.py
+++ b/features/overload/steps/blame_steps.py
@@ -11,7 +11,7 @@
 )
 
 from knapweedbridge_core import events
-from knapweedbridge_core.suspects import Blame, Verdict
+from knapweedbridge_core.suspects import SuspectTable, Verdict
 
 
 @when('a request that crashes engines runs beside {count:d} others with "{blame}"')
@@ -38,7 +38,9 @@
 
 @when("an engine with {count:d} innocent requests restarts {times:d} times")
 def restarts(context, count, times):
-    context.found = run_crashing(Blame, innocents=count, crashing=False, restarts=times)
+    context.found = run_crashing(
+        SuspectTable, innocents=count, crashing=False, restarts=times
+    )
 
 
 @then("all innocent requests got their answer")
@@ -115,7 +117,7 @@
 
 @given("an empty table of blame")
 def table(context):
-    context.blame = Blame()
+    context.blame = SuspectTable()
 
 
 @when('losses of "{first}" and "{second}" are told of "{fingerprint}" and never proved')
@@ -167,7 +169,7 @@
     @drawn(st.integers(0, 10**6), st.integers(0, 30), st.integers(2, 6))
     def run(seed, innocents, engines):
         context.runs.append(
-            run_crashing(Blame, innocents=innocents, engines=engines, seed=seed)
+            run_crashing(SuspectTable, innocents=innocents, engines=engines, seed=seed)
         )
 
     run()
--- a/packages/core/src/knapweedbridge_core/bridge.py
+++ b/packages/core/src/knapweedbridge_core/bridge.py
@@ -23,7 +23,7 @@
 from knapweedbridge_core.owner_side import OwnerSide
 from knapweedbridge_core.request_side import RequestSide
 from knapweedbridge_core.suspect_side import BlameSide
-from knapweedbridge_core.suspects import Blame
+from knapweedbridge_core.suspects import SuspectTable
 from knapweedbridge_core.view import View
 
 
@@ -106,7 +106,7 @@
         return self._context.configuration
 
     @property
-    def blame(self) -> Blame:
+    def blame(self) -> SuspectTable:
         """Requests that this daemon suspects of crashing endpoints."""
         return self._context.blame
 
--- a/packages/core/src/knapweedbridge_core/context.py
+++ b/packages/core/src/knapweedbridge_core/context.py
@@ -11,7 +11,7 @@
 from knapweedbridge_core.leaving import Leaving
 from knapweedbridge_core.members import Members
 from knapweedbridge_core.names import AdapterVersion
-from knapweedbridge_core.suspects import Blame
+from knapweedbridge_core.suspects import SuspectTable
 from knapweedbridge_core.view import View
 
 Handler = Callable[[Any], None]
@@ -60,7 +60,7 @@
         self.view = View()
         self.fencing_numbers = FencingNumbers()
         self.leaving = Leaving()
-        self.blame = Blame()
+        self.blame = SuspectTable()
         self.now_s = 0.0
         self.sender = host
         self._actions: list[Action] = []
--- a/packages/core/src/knapweedbridge_core/serving/crashes.py
+++ b/packages/core/src/knapweedbridge_core/serving/crashes.py
@@ -28,7 +28,7 @@
     PartLedger,
 )
 from knapweedbridge_core.serving.suspect_parts import LostCall, refused_parts
-from knapweedbridge_core.suspects import LOSSES_REFUSED, Blame, Verdict
+from knapweedbridge_core.suspects import LOSSES_REFUSED, SuspectTable, Verdict
 
 FIRST_REFUSAL_S = 60.0
 """Duration of the first refusal; callers give up on a request within seconds."""
@@ -59,7 +59,7 @@
     def __init__(self) -> None:
         self.parts = PartLedger()
         self.parts.losses_s = lambda: list(self._loss_times_s.values())
-        self._blame = Blame(FIRST_REFUSAL_S, longest_lapse_s=MAX_REFUSAL_S)
+        self._blame = SuspectTable(FIRST_REFUSAL_S, longest_lapse_s=MAX_REFUSAL_S)
         self._published: dict[str, float] = {}
         self._held_until_s: dict[str, float] = {}
         self._senders: dict[str, dict[str, set[str]]] = {}
--- a/packages/core/src/knapweedbridge_core/suspect_side.py
+++ b/packages/core/src/knapweedbridge_core/suspect_side.py
@@ -7,7 +7,7 @@
 from knapweedbridge_core.context import Context, Handler, Side
 from knapweedbridge_core.names import AdapterVersion
 from knapweedbridge_core.outcomes import Complete, Reason, Unknown
-from knapweedbridge_core.suspects import Blame, LossState
+from knapweedbridge_core.suspects import LossState, SuspectTable
 
 INNOCENT_REASONS = frozenset({Reason.CANCELLED, Reason.WRONG_ADAPTER, Reason.DEADLINE})
 
@@ -39,7 +39,7 @@
         self._incarnations: dict[str, str] = {}
 
     @property
-    def blame(self) -> Blame:
+    def blame(self) -> SuspectTable:
         """The table of this daemon."""
         return self._context.blame
 
--- a/packages/core/src/knapweedbridge_core/suspects.py
+++ b/packages/core/src/knapweedbridge_core/suspects.py
@@ -77,7 +77,7 @@
         return proved >= (1 if self.refusals else LOSSES_REFUSED)
 
 
-class Blame:
+class SuspectTable:
     """The bounded table of suspects of one daemon.
 
     Parameters
