--- a/features/limits/steps/pool_steps.py
+++ b/features/limits/steps/pool_steps.py
@@ -6,7 +6,7 @@
 from knapweedbridge_core.serving import DaemonRecord
 from knapweedbridge_core.serving.messages import RelayRequest
 from knapweedbridge_core.serving.permit_messages import LimitReport, LimitUpdate
-from knapweedbridge_daemon.serving.dialects import AnswerHead
+from knapweedbridge_daemon.serving.dialects import ResponseDetails
 from knapweedbridge_daemon.serving.wire import ResponseHead
 from knapweedbridge_platform.endpoints import PlatformEndpoints
 from knapweedbridge_standins.relay_pool import RelayPool
@@ -61,7 +61,9 @@
 
 
 async def hear_limit(daemon, limit_per_s, endpoint=None, sent_s=math.inf):
-    answer = AnswerHead(False, True, False, endpoint=endpoint, limit_per_s=limit_per_s)
+    answer = ResponseDetails(
+        False, True, False, endpoint=endpoint, limit_per_s=limit_per_s
+    )
     await daemon.link.signs.take(endpoint_of(daemon), answer, sent_s)
 
 
--- a/packages/daemon/src/knapweedbridge_daemon/serving/attempting.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/attempting.py
@@ -16,7 +16,7 @@
 )
 from knapweedbridge_daemon.serving.call import Call, KeptAnswer, Target
 from knapweedbridge_daemon.serving.clock import loop_time_s
-from knapweedbridge_daemon.serving.dialects import AnswerHead, AttemptDetails
+from knapweedbridge_daemon.serving.dialects import AttemptDetails, ResponseDetails
 from knapweedbridge_daemon.serving.event_stream import EventSplitter
 from knapweedbridge_daemon.serving.first_byte_timeouts import (
     FirstByteTimeout,
@@ -236,7 +236,7 @@
         return RequestHead(head.method, head.target, headers)
 
     async def _note_refused(
-        self, call: Call, target: Target, answer: ResponseHead, proved: AnswerHead
+        self, call: Call, target: Target, answer: ResponseHead, proved: ResponseDetails
     ) -> None:
         endpoint, model = target.endpoint, call.details.model
         self._hub.log.info(
--- a/packages/daemon/src/knapweedbridge_daemon/serving/backpressure_recorder.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/backpressure_recorder.py
@@ -3,7 +3,7 @@
 import anyio
 
 from knapweedbridge_core.serving import Endpoint
-from knapweedbridge_daemon.serving.dialects import AnswerHead
+from knapweedbridge_daemon.serving.dialects import ResponseDetails
 from knapweedbridge_daemon.serving.hub import Hub
 from knapweedbridge_daemon.serving.permits import Permits
 
@@ -23,7 +23,9 @@
         self._hub = hub
         self._permits = permits
 
-    async def take(self, endpoint: Endpoint, answer: AnswerHead, sent_s: float) -> None:
+    async def take(
+        self, endpoint: Endpoint, answer: ResponseDetails, sent_s: float
+    ) -> None:
         """Take what an answer of an endpoint asks for, if it is that endpoint's.
 
         Parameters
@@ -40,13 +42,13 @@
         await self._take_limit(endpoint, answer, sent_s)
         await self._take_brittle(endpoint, answer, sent_s)
 
-    def _take_leaving(self, endpoint: Endpoint, answer: AnswerHead) -> None:
+    def _take_leaving(self, endpoint: Endpoint, answer: ResponseDetails) -> None:
         if answer.leaves and endpoint.pressure.record_draining():
             self._hub.metrics.count("endpoint_leavings")
             self._hub.log.info("endpoint.leaving", endpoint=endpoint.name)
             self._hub.engines_changed.tell()
 
-    def _take_rest(self, endpoint: Endpoint, answer: AnswerHead) -> None:
+    def _take_rest(self, endpoint: Endpoint, answer: ResponseDetails) -> None:
         if answer.rest_s is None:
             return
         endpoint.pressure.record_pause(answer.rest_s, anyio.current_time())
@@ -57,7 +59,7 @@
         self._hub.engines_changed.tell()
 
     async def _take_limit(
-        self, endpoint: Endpoint, answer: AnswerHead, sent_s: float
+        self, endpoint: Endpoint, answer: ResponseDetails, sent_s: float
     ) -> None:
         if answer.limit_per_s is None:
             # Only an answer that is surely the endpoint's own may end a limit, and only
@@ -81,7 +83,7 @@
         await self._permits.limit_heard(endpoint)
 
     async def _take_brittle(
-        self, endpoint: Endpoint, answer: AnswerHead, sent_s: float
+        self, endpoint: Endpoint, answer: ResponseDetails, sent_s: float
     ) -> None:
         pressure, per_s = endpoint.pressure, answer.brittle_per_s
         # As with a limit: only a later answer that is surely its own may end it.
--- a/packages/daemon/src/knapweedbridge_daemon/serving/dialects.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/dialects.py
@@ -118,7 +118,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class AnswerHead:
+class ResponseDetails:
     """What the head of an endpoint's answer proves.
 
     Parameters
@@ -207,7 +207,7 @@
         """Tell whether an answer's headers name the call."""
 
     @abstractmethod
-    def read_answer(self, head: ResponseHead) -> AnswerHead:
+    def read_answer(self, head: ResponseHead) -> ResponseDetails:
         """Decode the head of an answer."""
 
     @abstractmethod
--- a/packages/standins/src/knapweedbridge_standins/serving_histories/limits.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_histories/limits.py
@@ -8,7 +8,7 @@
 from anyio.abc import TaskGroup
 
 from knapweedbridge_core.serving import Backpressure, DaemonRecord
-from knapweedbridge_daemon.serving.dialects import AnswerHead
+from knapweedbridge_daemon.serving.dialects import ResponseDetails
 from knapweedbridge_standins.relay_pool import PoolDaemon, RelayPool
 from knapweedbridge_standins.virtual_loop import run_virtually
 
@@ -143,7 +143,7 @@
         await anyio.sleep(ANSWER_S)
         if daemon.name in self._down:
             return
-        answer = AnswerHead(False, True, False, limit_per_s=limited.limit_per_s)
+        answer = ResponseDetails(False, True, False, limit_per_s=limited.limit_per_s)
         await daemon.link.signs.take(endpoint, answer, now_s)
         if limited.limit_per_s is not None:
             limited.told_s.setdefault(daemon.name, anyio.current_time())
