--- a/features/plain/steps/memory_steps.py
+++ b/features/plain/steps/memory_steps.py
@@ -39,7 +39,7 @@
         if now_s - self.read_s < self.pause_s:
             return False
         self.read_s = now_s
-        self.budget.note_read(self.number, PIECE_BYTES, now_s)
+        self.budget.record_read(self.number, PIECE_BYTES, now_s)
         self.pieces -= 1
         self.budget.end_write(self.number)
         if not self.pieces:
--- a/packages/core/src/knapweedbridge_core/serving/memory_budget.py
+++ b/packages/core/src/knapweedbridge_core/serving/memory_budget.py
@@ -73,7 +73,7 @@
         self.hold(HeldKind.RESPONSES, size_bytes)
         return self._last_reader
 
-    def note_read(self, reader: int, size_bytes: int, now_s: float) -> None:
+    def record_read(self, reader: int, size_bytes: int, now_s: float) -> None:
         """Record that a caller has read some of the bytes."""
         known = self._readers[reader]
         size_bytes = min(size_bytes, known.held_bytes)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/held_memory.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/held_memory.py
@@ -96,9 +96,9 @@
         self._disconnects[reader] = disconnect
         return reader
 
-    def note_read(self, reader: int, size_bytes: int) -> None:
+    def record_read(self, reader: int, size_bytes: int) -> None:
         """Take that a caller has read some of them."""
-        self._budget.note_read(reader, size_bytes, anyio.current_time())
+        self._budget.record_read(reader, size_bytes, anyio.current_time())
 
     def end_write(self, reader: int) -> None:
         """Take that the caller has read all, or is gone."""
@@ -183,7 +183,7 @@
         for begin in range(0, len(data), PIECE_BYTES):
             piece = data[begin : begin + PIECE_BYTES]
             await self._responder.send(piece)
-            self._held.note_read(reader, len(piece))
+            self._held.record_read(reader, len(piece))
 
     async def answer(
         self, status: int, headers: Headers, body: bytes, close: bool = False
