--- a/packages/daemon/src/knapweedbridge_daemon/serving/permits.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/permits.py
@@ -214,7 +214,7 @@
             self._hub.engines_changed.tell()
 
     async def _hand_on(self, message: LimitUpdate) -> None:
-        for name in self._relaying.hearers_now():
+        for name in self._relaying.list_subscribers():
             await self._send(name, message)
 
     async def _take_as_keeper(
--- a/packages/daemon/src/knapweedbridge_daemon/serving/update_relay.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/update_relay.py
@@ -199,7 +199,7 @@
             since, self._revision, pack_items(self._items), pack_engines(rows)
         )
 
-    def hearers_now(self) -> list[str]:
+    def list_subscribers(self) -> list[str]:
         """Name those that this daemon hands news on to; none where it is no relay.
 
         Other relays that hear it for a while are left out: they hand news on as well,
