--- a/features/platform/steps/path_steps.py
+++ b/features/platform/steps/path_steps.py
@@ -93,9 +93,9 @@
 
 FAULTY = {
     "Placing.place": (placing.Placing, "place"),
-    "Attempting._exchange": (attempting.Attempting, "_exchange"),
-    "Attempting._relay": (attempting.Attempting, "_relay"),
-    "Attempting._take_whole": (attempting.Attempting, "_take_whole"),
+    "Attempting._exchange": (attempting.AttemptRunner, "_exchange"),
+    "Attempting._relay": (attempting.AttemptRunner, "_relay"),
+    "Attempting._take_whole": (attempting.AttemptRunner, "_take_whole"),
     "Responder.end": (http_server.CallerConnection, "pack_data"),
 }
 
--- a/packages/daemon/src/knapweedbridge_daemon/serving/attempting.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/attempting.py
@@ -49,7 +49,7 @@
 """Wait after an engine refused a call as its adapter's load is not done."""
 
 
-class Attempting:
+class AttemptRunner:
     """Makes attempts of calls.
 
     Parameters
--- a/packages/daemon/src/knapweedbridge_daemon/serving/calls.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/calls.py
@@ -4,7 +4,7 @@
 
 from knapweedbridge_core.serving import AttemptEnd, may_retry
 from knapweedbridge_daemon.serving.attempt_records import MARK_DIGITS
-from knapweedbridge_daemon.serving.attempting import Attempting
+from knapweedbridge_daemon.serving.attempting import AttemptRunner
 from knapweedbridge_daemon.serving.call import Call, Target
 from knapweedbridge_daemon.serving.dialects import Refusal
 from knapweedbridge_daemon.serving.hub import Hub
@@ -28,7 +28,7 @@
         self._hub = hub
         self._link = link
         self._placing = Placing(hub, link)
-        self._attempting = Attempting(hub, link)
+        self._attempting = AttemptRunner(hub, link)
         self._suspects = SuspectCalls(hub)
 
     async def run(self, call: Call) -> str:
