--- a/packages/core/src/knapweedbridge_core/bridge.py
+++ b/packages/core/src/knapweedbridge_core/bridge.py
@@ -22,7 +22,7 @@
 from knapweedbridge_core.owned_endpoints import OwnedEndpoints
 from knapweedbridge_core.owner_side import OwnerSide
 from knapweedbridge_core.request_side import RequestSide
-from knapweedbridge_core.suspect_side import BlameSide
+from knapweedbridge_core.suspect_side import SuspectSide
 from knapweedbridge_core.suspects import SuspectTable
 from knapweedbridge_core.view import View
 
@@ -64,7 +64,7 @@
         self.distribution = ConfigurationSide(self._context)
         self.operators = OperatorSide(self._context, administration)
         owning = (self.holder, self.owner, self.grants, self.orders)
-        guards = (BlameSide(self._context), LeavingSide(self._context))
+        guards = (SuspectSide(self._context), LeavingSide(self._context))
         # The load side must handle a failed load before the owner reports its end.
         answering = (*owning, *guards, self.requests, demand)
         roles = (self.distribution, self.loads, *answering)
--- a/packages/core/src/knapweedbridge_core/suspect_side.py
+++ b/packages/core/src/knapweedbridge_core/suspect_side.py
@@ -30,7 +30,7 @@
     later: list[Charge] = field(default_factory=list)
 
 
-class BlameSide(Side):
+class SuspectSide(Side):
     """Keeps the shared table of blame in step with the peers."""
 
     def __init__(self, context: Context) -> None:
