--- a/features/backpressure/steps/sign_steps.py
+++ b/features/backpressure/steps/sign_steps.py
@@ -9,7 +9,7 @@
 @when('an endpoint answers {status:d} with "{name}" of "{value}"')
 def endpoint_answers(context, status, name, value):
     head = ResponseHead(status, [(name.encode(), value.encode())], b"")
-    context.answer = PlatformEndpoints().read_answer(head)
+    context.answer = PlatformEndpoints().read_response(head)
 
 
 @then("the endpoint is {leaves}, wants a rest of {rest}, unreadable: {unreadable}")
--- a/features/limits/steps/pool_steps.py
+++ b/features/limits/steps/pool_steps.py
@@ -21,7 +21,7 @@
 @when('an endpoint\'s answer names the limit "{value}"')
 def answer_names(context, value):
     headers = [(b"Server-Limit", value.encode())]
-    context.answer = PlatformEndpoints().read_answer(ResponseHead(200, headers, b""))
+    context.answer = PlatformEndpoints().read_response(ResponseHead(200, headers, b""))
 
 
 @then("it is read as {limit}")
--- a/packages/daemon/src/knapweedbridge_daemon/serving/attempting.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/attempting.py
@@ -192,7 +192,7 @@
             endpoint.record_answer(forecast.head_s)
             if not connection.forwarder:
                 self._hub.paths.linked_s = loop_time_s()
-            proved = self._hub.dialects.endpoints.read_answer(answer)
+            proved = self._hub.dialects.endpoints.read_response(answer)
             await self._link.signs.take(target.endpoint, proved, forecast.sent_s)
             if proved.not_run:
                 async for _ in connection.read_body():
--- a/packages/daemon/src/knapweedbridge_daemon/serving/dialects.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/dialects.py
@@ -207,7 +207,7 @@
         """Tell whether an answer's headers name the call."""
 
     @abstractmethod
-    def read_answer(self, head: ResponseHead) -> ResponseDetails:
+    def read_response(self, head: ResponseHead) -> ResponseDetails:
         """Decode the head of an answer."""
 
     @abstractmethod
--- a/packages/daemon/src/knapweedbridge_daemon/serving/engine_owner.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/engine_owner.py
@@ -332,7 +332,7 @@
         try:
             head, body = await self._exchange(request, ORDER_ANSWER_S)
             answer, status = dialect.read_order_answer(head, body), head.status
-            await self._signs.take(self.endpoint, dialect.read_answer(head), sent_s)
+            await self._signs.take(self.endpoint, dialect.read_response(head), sent_s)
         except NotSentError:
             answer = OrderAnswer.REFUSED
         except (ConnectionBrokenError, TimeoutError):
--- a/packages/daemon/src/knapweedbridge_daemon/serving/loss_proof.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/loss_proof.py
@@ -20,6 +20,6 @@
     question = dialect.health(record.address, endpoint.name, service.health_path)
     async with hub.pool.connection(destination) as connection:
         head, _ = await connection.call(question)
-    answer = dialect.read_answer(head)
+    answer = dialect.read_response(head)
     is_other = answer.wrong_endpoint and answer.endpoint != endpoint.name
     return "replaced" if is_other else ""
