--- a/packages/daemon/src/knapweedbridge_daemon/serving/backpressure_recorder.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/backpressure_recorder.py
@@ -80,7 +80,7 @@
             before_per_s=before_per_s,
             source="answer",
         )
-        await self._permits.limit_heard(endpoint)
+        await self._permits.report_limit(endpoint)
 
     async def _take_brittle(
         self, endpoint: Endpoint, answer: ResponseDetails, sent_s: float
--- a/packages/daemon/src/knapweedbridge_daemon/serving/permits.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/permits.py
@@ -158,7 +158,7 @@
             message = CallRejected(endpoint.name, endpoint.record.started_ms)
             await self._send(keeper, message)
 
-    async def limit_heard(self, endpoint: Endpoint) -> None:
+    async def report_limit(self, endpoint: Endpoint) -> None:
         """Tell an endpoint's keeper of the limit that an answer has just named."""
         keeper = self._keeper(endpoint)
         if keeper is not None:
