--- a/packages/daemon/src/knapweedbridge_daemon/serving/lease_controller.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/lease_controller.py
@@ -167,7 +167,7 @@
     def _note_answer(self) -> None:
         self._hub.outage.answered(anyio.current_time())
         if self._failing:
-            self._follower.watch_anew()
+            self._follower.restart_watch()
         self._failing = False
 
     def _note_failure(self, error: StoreError, began_s: float) -> None:
--- a/packages/daemon/src/knapweedbridge_daemon/serving/store_follower.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/store_follower.py
@@ -91,7 +91,7 @@
         self._missing: set[str] = set()
         self._small = True
 
-    def watch_anew(self) -> None:
+    def restart_watch(self) -> None:
         """End the watch that waits: its connection may have gone silent."""
         # One that is still connecting ends by itself soon, and tells of the outage.
         if self._watch is not None and not self._calls.is_connecting:
