--- a/features/plain/steps/counting_steps.py
+++ b/features/plain/steps/counting_steps.py
@@ -84,7 +84,7 @@
 
 
 async def place(daemon, data_centre="d0"):
-    """Place a request as `Placing` does; return its endpoint and how long it took."""
+    """Place a request as `CallPlacer` does; return its endpoint and how long it took."""
     ask = PlainAsk(data_centre, frozenset(), OBJECTIVE_S)
     began_s = anyio.current_time()
     endpoint = await daemon.link.plain.choose(ask, endpoints_of(daemon))
--- a/features/platform/steps/path_steps.py
+++ b/features/platform/steps/path_steps.py
@@ -92,7 +92,7 @@
 
 
 FAULTY = {
-    "Placing.place": (placing.Placing, "place"),
+    "Placing.place": (placing.CallPlacer, "place"),
     "Attempting._exchange": (attempting.AttemptRunner, "_exchange"),
     "Attempting._relay": (attempting.AttemptRunner, "_relay"),
     "Attempting._take_whole": (attempting.AttemptRunner, "_take_whole"),
--- a/packages/daemon/src/knapweedbridge_daemon/serving/calls.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/calls.py
@@ -9,7 +9,7 @@
 from knapweedbridge_daemon.serving.dialects import Refusal
 from knapweedbridge_daemon.serving.hub import Hub
 from knapweedbridge_daemon.serving.peer_link import PeerLink
-from knapweedbridge_daemon.serving.placing import BUSY_AFTER_S, Placing
+from knapweedbridge_daemon.serving.placing import BUSY_AFTER_S, CallPlacer
 from knapweedbridge_daemon.serving.suspect_calls import SuspectCalls
 
 
@@ -27,7 +27,7 @@
     def __init__(self, hub: Hub, link: PeerLink) -> None:
         self._hub = hub
         self._link = link
-        self._placing = Placing(hub, link)
+        self._placing = CallPlacer(hub, link)
         self._attempting = AttemptRunner(hub, link)
         self._suspects = SuspectCalls(hub)
 
--- a/packages/daemon/src/knapweedbridge_daemon/serving/placing.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/placing.py
@@ -71,7 +71,7 @@
 answer can then still come in time."""
 
 
-class Placing:
+class CallPlacer:
     """Places calls by what is believed of the endpoints.
 
     Parameters
