--- a/packages/daemon/src/knapweedbridge_daemon/serving/attempting.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/attempting.py
@@ -184,7 +184,7 @@
             answer = await connection.exchange(
                 head,
                 call.request.body,
-                lambda headers: self._hub.dialects.endpoints.belongs(
+                lambda headers: self._hub.dialects.endpoints.matches_call(
                     call.details.call_id, headers
                 ),
             )
--- a/packages/daemon/src/knapweedbridge_daemon/serving/dialects.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/dialects.py
@@ -203,7 +203,7 @@
         """Return the headers of an attempt, the caller's and ours."""
 
     @abstractmethod
-    def belongs(self, call_id: str, headers: Headers) -> bool:
+    def matches_call(self, call_id: str, headers: Headers) -> bool:
         """Tell whether an answer's headers name the call."""
 
     @abstractmethod
