--- a/packages/daemon/src/knapweedbridge_daemon/serving/host.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/host.py
@@ -164,7 +164,7 @@
                     tasks.start_soon(follower.run)
                     tasks.start_soon(lease.run)
                     tasks.start_soon(lease.claim)
-                    tasks.start_soon(lease.make_secret)
+                    tasks.start_soon(lease.create_secret)
                     tasks.start_soon(link.run, tasks, self._address("peers"))
                     tasks.start_soon(link.owners.run, tasks)
                     tasks.start_soon(link.running.run)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/lease_controller.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/lease_controller.py
@@ -314,7 +314,7 @@
             # The lease lapses by itself; successors wait that long.
             hub.log.error("owner.hand_over_failed", error=str(error))
 
-    async def make_secret(self) -> None:
+    async def create_secret(self) -> None:
         """Write the secret that daemons share, where there is none yet."""
         key = self._hub.dialects.daemon_keys.secret
         while not self._hub.cluster.secret:
