--- a/packages/daemon/src/knapweedbridge_daemon/serving/callers_app.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/callers_app.py
@@ -9,8 +9,8 @@
 from knapweedbridge_core.serving import RequestLimits, Route, fingerprint, shared_parts
 from knapweedbridge_daemon.serving.attempt_records import MARK_DIGITS
 from knapweedbridge_daemon.serving.call import Call
+from knapweedbridge_daemon.serving.call_runner import CallRunner
 from knapweedbridge_daemon.serving.call_terms import CallTerms, TermsFinder
-from knapweedbridge_daemon.serving.calls import CallRunner
 from knapweedbridge_daemon.serving.dialects import CallDetails, DialectError, Refusal
 from knapweedbridge_daemon.serving.http_server import (
     BadRequestError,
--- a/packages/daemon/src/knapweedbridge_daemon/serving/host.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/host.py
@@ -19,8 +19,8 @@
     StoreOutage,
 )
 from knapweedbridge_daemon.serving.admin_handlers import AdminHandlers
+from knapweedbridge_daemon.serving.call_runner import CallRunner
 from knapweedbridge_daemon.serving.callers_app import CallersApp
-from knapweedbridge_daemon.serving.calls import CallRunner
 from knapweedbridge_daemon.serving.decision_log import DecisionLog
 from knapweedbridge_daemon.serving.dialects import load_dialects
 from knapweedbridge_daemon.serving.endpoint_connector import EndpointConnector
