--- a/bench/soak_disturbances.py
+++ b/bench/soak_disturbances.py
@@ -203,9 +203,9 @@
     async def _rest_endpoint(self) -> None:
         endpoint = self._choose_endpoint()
         with self.watched.troubled(answers_of(endpoint.name)):
-            endpoint.rest_s = self.luck.uniform(0.5, 2)
+            endpoint.retry_after_s = self.luck.uniform(0.5, 2)
             await anyio.sleep(self.luck.uniform(0.5, 2))
-            endpoint.rest_s = None
+            endpoint.retry_after_s = None
 
     async def _spoil(self) -> None:
         endpoint = self._choose_endpoint()
--- a/bench/soak_pool.py
+++ b/bench/soak_pool.py
@@ -194,7 +194,7 @@
         for endpoint, proxy in self.endpoints.values():
             proxy.heal()
             endpoint.behaviour.clear()
-            endpoint.limit_per_s = endpoint.rest_s = None
+            endpoint.limit_per_s = endpoint.retry_after_s = None
             endpoint.pause_s = 0.005
 
 
--- a/features/backpressure/steps/pause_steps.py
+++ b/features/backpressure/steps/pause_steps.py
@@ -113,7 +113,7 @@
 async def turns_away(context, path, name, rest, seconds):
     endpoint, context.answers = named(path, name), []
     await call_for(path, endpoint, CALLS_PER_S, 1, 1, [])
-    endpoint.rest_s = context.rest_s = rest
+    endpoint.retry_after_s = context.retry_after_s = rest
     began_s = anyio.current_time()
     await call_for(path, endpoint, CALLS_PER_S, seconds, 1, context.answers)
     context.arrivals_s = [each for each in endpoint.arrivals_s if each >= began_s]
@@ -125,7 +125,7 @@
 def gets_rest(context, most):
     assert context.arrivals_s
     for asked_s in context.arrivals_s:
-        span = asked_s + SETTLE_S, asked_s + context.rest_s
+        span = asked_s + SETTLE_S, asked_s + context.retry_after_s
         got = sum(span[0] < each < span[1] for each in context.arrivals_s)
         assert got <= most, f"{got} calls while it wanted to rest"
 
@@ -134,7 +134,7 @@
 @played(lease_ms=3000)
 async def all_rest(context, path):
     for desk in path.desks:
-        desk.rest_s = 3
+        desk.retry_after_s = 3
     for _ in path.desks:
         await path.call("GET", "/look/1")
     before = sum(len(desk.arrivals_s) for desk in path.desks)
--- a/features/backpressure/steps/sign_steps.py
+++ b/features/backpressure/steps/sign_steps.py
@@ -16,7 +16,7 @@
 def is_read_as(context, leaves, rest, unreadable):
     answer = context.answer
     assert answer.leaves == (leaves == "leaving"), answer
-    assert answer.rest_s == (None if rest == "none" else float(rest)), answer
+    assert answer.retry_after_s == (None if rest == "none" else float(rest)), answer
     assert bool(answer.unreadable) == (unreadable == "yes"), answer
 
 
@@ -27,7 +27,7 @@
         if do == "leave":
             desk.leaves = True
         else:
-            desk.rest_s = 3
+            desk.retry_after_s = 3
     await path.call("GET", "/look/1")
     context.metrics = await metrics(path)
 
--- a/features/platform/standins.py
+++ b/features/platform/standins.py
@@ -263,7 +263,7 @@
         self.arrivals_s = []
         self.limit_per_s = None
         self.leaves = False
-        self.rest_s = None
+        self.retry_after_s = None
         self.brittle_per_s = None
         self.room = None
         self.work_s = 0.0
@@ -315,8 +315,8 @@
             (b"Not-Run", b"1"),
             (b"Instance-Id", self.name.encode()),
         ]
-        if status == 503 and self.rest_s is not None:
-            headers.append((b"Retry-After", str(self.rest_s).encode()))
+        if status == 503 and self.retry_after_s is not None:
+            headers.append((b"Retry-After", str(self.retry_after_s).encode()))
         await responder.answer(status, headers, b"")
 
     def write_at_once(self, responder, headers, body):
@@ -339,7 +339,7 @@
             await responder.answer(200, headers, b"")
             return
         self.requests.append(request)
-        if self.rest_s is not None:
+        if self.retry_after_s is not None:
             await self.answer(request, responder, "shed")
             return
         if self.room is not None and self.busy >= self.room:
--- a/packages/daemon/src/knapweedbridge_daemon/serving/backpressure_recorder.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/backpressure_recorder.py
@@ -49,12 +49,12 @@
             self._hub.engines_changed.tell()
 
     def _take_rest(self, endpoint: Endpoint, answer: ResponseDetails) -> None:
-        if answer.rest_s is None:
+        if answer.retry_after_s is None:
             return
-        endpoint.pressure.record_pause(answer.rest_s, anyio.current_time())
+        endpoint.pressure.record_pause(answer.retry_after_s, anyio.current_time())
         self._hub.metrics.count("endpoint_rests")
         self._hub.log.info(
-            "endpoint.resting", endpoint=endpoint.name, rest_s=answer.rest_s
+            "endpoint.resting", endpoint=endpoint.name, rest_s=answer.retry_after_s
         )
         self._hub.engines_changed.tell()
 
--- a/packages/daemon/src/knapweedbridge_daemon/serving/dialects.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/dialects.py
@@ -138,7 +138,7 @@
         names no limit.
     leaves : bool
         The endpoint says that it leaves.
-    rest_s : float or None
+    retry_after_s : float or None
         For how long it wants nothing from this daemon; None: it asks for no rest.
     turned_away : bool
         The endpoint had no room for the call.
@@ -156,7 +156,7 @@
     endpoint: str | None = None
     limit_per_s: float | None = None
     leaves: bool = False
-    rest_s: float | None = None
+    retry_after_s: float | None = None
     turned_away: bool = False
     brittle_per_s: float | None = None
     unreadable: tuple[str, ...] = ()
