--- a/packages/daemon/src/knapweedbridge_daemon/serving/lease_controller.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/lease_controller.py
@@ -183,7 +183,7 @@
             if self._hub.draining or not self._lease or not self._hub.synced:
                 continue
             await self._links.publish(self._lease)
-            await self._links.release_unreached(self._lease)
+            await self._links.release_unreachable(self._lease)
             for endpoint in self._due():
                 if self._lease_era == self._hub.store_era:
                     await self._claim(endpoint)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/lost_links.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/lost_links.py
@@ -72,7 +72,7 @@
         self._is_published = has_lost_links
         hub.log.info("links.lost" if has_lost_links else "links.back")
 
-    async def release_unreached(self, lease: str) -> None:
+    async def release_unreachable(self, lease: str) -> None:
         """Give up the engines that this host does not reach, though others do."""
         hub = self._hub
         if not len(hub.paths) or self._stop_owning is None:
