--- a/packages/daemon/src/knapweedbridge_daemon/serving/crash_watch.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/crash_watch.py
@@ -27,7 +27,7 @@
     NotSentError,
 )
 from knapweedbridge_daemon.serving.hub import Hub, Send
-from knapweedbridge_daemon.serving.loss_proof import find_loss
+from knapweedbridge_daemon.serving.loss_detection import find_loss
 
 LOOK_S = 0.5
 """Longest pause between looks for endpoints that were replaced."""
