--- a/packages/daemon/src/knapweedbridge_daemon/serving/callers_app.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/callers_app.py
@@ -64,7 +64,7 @@
         deployment = self._hub.cluster.deployment
         return deployment.limits if deployment else RequestLimits()
 
-    def count_bad(self, error: BadRequestError) -> None:
+    def count_bad_request(self, error: BadRequestError) -> None:
         """Count a request that could not be read."""
         self._hub.metrics.count("bad_requests", str(error.status))
         self._hub.log.info("request.bad", status=error.status, error=str(error))
--- a/packages/daemon/src/knapweedbridge_daemon/serving/host.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/host.py
@@ -152,7 +152,7 @@
         app = CallersApp(hub, CallRunner(hub, link), link.shares)
         held = MemoryGuard(hub)
         handle = held.guard(app.handle)
-        face = HttpServer(handle, app.limits, app.count_bad, app.count_fault)
+        face = HttpServer(handle, app.limits, app.count_bad_request, app.count_fault)
         async with anyio.create_task_group() as callers:
             try:
                 async with anyio.create_task_group() as tasks:
@@ -193,7 +193,7 @@
         self, callers: TaskGroup, hub: Hub, face: HttpServer, app: CallersApp
     ) -> None:
         side = AdminHandlers(hub)
-        counts = app.count_bad, app.count_fault
+        counts = app.count_bad_request, app.count_fault
         ready = HttpServer(side.ready, side.limits, *counts)
         metrics = HttpServer(side.metrics, side.limits, *counts)
         faces = {"callers": face, "ready": ready, "metrics": metrics}
--- a/packages/daemon/src/knapweedbridge_daemon/serving/http_server.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/http_server.py
@@ -208,7 +208,7 @@
             raise CallerDisconnectedError(repr(error)) from error
 
     async def _refuse(self, error: BadRequestError) -> None:
-        self._face.count_bad(error)
+        self._face.count_bad_request(error)
         try:
             await Responder(self).answer(error.status, [], b"", close=True)
         except CallerDisconnectedError:
@@ -235,7 +235,7 @@
         Answers one request.
     limits : callable
         Returns the bounds in force.
-    count_bad : callable
+    count_bad_request : callable
         Takes each request that could not be read.
     count_fault : callable
         Takes each error of the daemon's own code.
@@ -245,12 +245,12 @@
         self,
         handler: Handler,
         limits: Callable[[], RequestLimits],
-        count_bad: Callable[[BadRequestError], None],
+        count_bad_request: Callable[[BadRequestError], None],
         count_fault: Callable[[Exception], None],
     ) -> None:
         self.handler = handler
         self.limits = limits
-        self.count_bad = count_bad
+        self.count_bad_request = count_bad_request
         self.count_fault = count_fault
         self.closing = False
         self.open_connections = 0
