--- a/packages/daemon/src/knapweedbridge_daemon/serving/engine_owners.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/engine_owners.py
@@ -23,7 +23,7 @@
 from knapweedbridge_daemon.serving.hub import Hub, Send
 from knapweedbridge_daemon.serving.permits import Permits
 
-ToOwner = (
+OwnerMessage = (
     AdapterLoadRequest
     | AdapterMissing
     | CallsReport
@@ -116,7 +116,7 @@
             tasks.start_soon(owner.run)
             self._hub.log.info("owner.begun", engine=name, number=record.number)
 
-    async def handle(self, daemon: str, message: ToOwner) -> None:
+    async def handle(self, daemon: str, message: OwnerMessage) -> None:
         """Take a daemon's message about an engine that is owned here."""
         if isinstance(message, OwnershipClaimed):
             await self._give_up(daemon, message)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
@@ -24,7 +24,7 @@
 from knapweedbridge_daemon.peers import Peers
 from knapweedbridge_daemon.serving.backpressure_recorder import BackpressureRecorder
 from knapweedbridge_daemon.serving.crash_watch import CrashWatch, OfLosses
-from knapweedbridge_daemon.serving.engine_owners import EngineOwners, ToOwner
+from knapweedbridge_daemon.serving.engine_owners import EngineOwners, OwnerMessage
 from knapweedbridge_daemon.serving.forwarding import TunnelForwarder
 from knapweedbridge_daemon.serving.hub import Hub
 from knapweedbridge_daemon.serving.permits import PermitMessage, Permits
@@ -94,7 +94,7 @@
         takers |= dict.fromkeys(get_args(OfOrigins), self.resuming.handle)
         of_relay = StoreUpdate, StoreMark, RelayRequest
         takers |= dict.fromkeys(of_relay, self._take_of_relay)
-        return takers | dict.fromkeys(get_args(ToOwner), self.owners.handle)
+        return takers | dict.fromkeys(get_args(OwnerMessage), self.owners.handle)
 
     async def send(self, daemon: str, message: Any) -> None:
         """Send a message to a daemon, which may be this one.
