--- a/packages/daemon/src/knapweedbridge_daemon/serving/crash_watch.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/crash_watch.py
@@ -27,7 +27,7 @@
     NotSentError,
 )
 from knapweedbridge_daemon.serving.hub import Hub, Send
-from knapweedbridge_daemon.serving.loss_detection import find_loss
+from knapweedbridge_daemon.serving.loss_detection import detect_loss
 
 LOOK_S = 0.5
 """Longest pause between looks for endpoints that were replaced."""
@@ -233,7 +233,7 @@
                 return
         try:
             with anyio.move_on_after(PROBE_S):
-                cause = await find_loss(self._hub, endpoint)
+                cause = await detect_loss(self._hub, endpoint)
                 lives = not cause
         except NotSentError as error:
             cause = "unreachable" if error.is_lost else ""
--- a/packages/daemon/src/knapweedbridge_daemon/serving/loss_detection.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/loss_detection.py
@@ -5,7 +5,7 @@
 from knapweedbridge_daemon.serving.hub import Hub
 
 
-async def find_loss(hub: Hub, endpoint: Endpoint) -> str:
+async def detect_loss(hub: Hub, endpoint: Endpoint) -> str:
     """Return what shows that an endpoint is gone; empty: nothing does."""
     record, pressure = endpoint.record, endpoint.pressure
     destination = Destination(record.address, endpoint.name)
