--- a/packages/daemon/src/knapweedbridge_daemon/serving/callers_app.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/callers_app.py
@@ -69,7 +69,7 @@
         self._hub.metrics.count("bad_requests", str(error.status))
         self._hub.log.info("request.bad", status=error.status, error=str(error))
 
-    def count_fault(self, error: Exception) -> None:
+    def count_internal_error(self, error: Exception) -> None:
         """Count an error of the daemon's own code, with its place."""
         self._hub.metrics.count("internal_errors")
         while isinstance(error, ExceptionGroup):
--- a/packages/daemon/src/knapweedbridge_daemon/serving/host.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/host.py
@@ -152,7 +152,9 @@
         app = CallersApp(hub, CallRunner(hub, link), link.shares)
         held = MemoryGuard(hub)
         handle = held.guard(app.handle)
-        face = HttpServer(handle, app.limits, app.count_bad_request, app.count_fault)
+        face = HttpServer(
+            handle, app.limits, app.count_bad_request, app.count_internal_error
+        )
         async with anyio.create_task_group() as callers:
             try:
                 async with anyio.create_task_group() as tasks:
@@ -180,7 +182,7 @@
                     await self._await_stop(hub, lease, face, app, link.forwarding)
                     callers.cancel_scope.cancel()
             except Exception as error:
-                app.count_fault(error)
+                app.count_internal_error(error)
                 # A cancellation meanwhile must not replace the error.
                 with anyio.CancelScope(shield=True):
                     await self._end_calls(face, app)
@@ -193,7 +195,7 @@
         self, callers: TaskGroup, hub: Hub, face: HttpServer, app: CallersApp
     ) -> None:
         side = AdminHandlers(hub)
-        counts = app.count_bad_request, app.count_fault
+        counts = app.count_bad_request, app.count_internal_error
         ready = HttpServer(side.ready, side.limits, *counts)
         metrics = HttpServer(side.metrics, side.limits, *counts)
         faces = {"callers": face, "ready": ready, "metrics": metrics}
--- a/packages/daemon/src/knapweedbridge_daemon/serving/http_server.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/http_server.py
@@ -171,7 +171,7 @@
             except CallerDisconnectedError:
                 is_gone = True
             except Exception as error:
-                self._face.count_fault(error)
+                self._face.count_internal_error(error)
                 if not responder.is_written:
                     # What was packed of the answer that failed does not count.
                     self._packer = ResponsePacker(request.head.method, framing)
@@ -237,7 +237,7 @@
         Returns the bounds in force.
     count_bad_request : callable
         Takes each request that could not be read.
-    count_fault : callable
+    count_internal_error : callable
         Takes each error of the daemon's own code.
     """
 
@@ -246,12 +246,12 @@
         handler: Handler,
         limits: Callable[[], RequestLimits],
         count_bad_request: Callable[[BadRequestError], None],
-        count_fault: Callable[[Exception], None],
+        count_internal_error: Callable[[Exception], None],
     ) -> None:
         self.handler = handler
         self.limits = limits
         self.count_bad_request = count_bad_request
-        self.count_fault = count_fault
+        self.count_internal_error = count_internal_error
         self.closing = False
         self.open_connections = 0
         self.idle: set[CallerConnection] = set()
@@ -270,6 +270,6 @@
                 await connection.serve()
         except Exception as error:
             # An error outside any request costs this caller its connection only.
-            self.count_fault(error)
+            self.count_internal_error(error)
         finally:
             self.open_connections -= 1
