--- a/features/plain/steps/counting_steps.py
+++ b/features/plain/steps/counting_steps.py
@@ -13,8 +13,8 @@
 )
 from knapweedbridge_core.serving.cluster_state import EndpointNamed
 from knapweedbridge_core.serving.permit_messages import PermitResponse
-from knapweedbridge_daemon.serving.plain_greeting import is_plain_message
 from knapweedbridge_daemon.serving.plain_load_server import load_coordinator
+from knapweedbridge_daemon.serving.plain_version_probe import is_plain_message
 from knapweedbridge_standins.relay_pool import RelayPool
 from knapweedbridge_standins.virtual_loop import run_virtually
 
--- a/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
@@ -28,8 +28,11 @@
 from knapweedbridge_daemon.serving.forwarding import TunnelForwarder
 from knapweedbridge_daemon.serving.hub import Hub
 from knapweedbridge_daemon.serving.permits import PermitMessage, Permits
-from knapweedbridge_daemon.serving.plain_greeting import PlainMessage, is_plain_message
 from knapweedbridge_daemon.serving.plain_router import PlainRouter
+from knapweedbridge_daemon.serving.plain_version_probe import (
+    PlainMessage,
+    is_plain_message,
+)
 from knapweedbridge_daemon.serving.quota_shares import AccountQuotas
 from knapweedbridge_daemon.serving.running_calls import RunningCalls
 from knapweedbridge_daemon.serving.store_update_codec import unpack_engines
--- a/packages/daemon/src/knapweedbridge_daemon/serving/plain_load_client.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/plain_load_client.py
@@ -12,12 +12,12 @@
     PlainLoadResponse,
 )
 from knapweedbridge_daemon.serving.hub import Hub, Send
-from knapweedbridge_daemon.serving.plain_greeting import (
+from knapweedbridge_daemon.serving.plain_load_server import load_coordinator
+from knapweedbridge_daemon.serving.plain_version_probe import (
     NO_TICKET,
     VERSION_PROBE,
     PlainMessage,
 )
-from knapweedbridge_daemon.serving.plain_load_server import load_coordinator
 
 SILENT_S = 1.0
 """How long a counting daemon that gave no answer is not asked: in that time one that
--- a/packages/daemon/src/knapweedbridge_daemon/serving/plain_load_server.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/plain_load_server.py
@@ -14,7 +14,7 @@
     PlainLoadResponse,
 )
 from knapweedbridge_daemon.serving.hub import Hub, Send
-from knapweedbridge_daemon.serving.plain_greeting import (
+from knapweedbridge_daemon.serving.plain_version_probe import (
     VERSION_PROBE,
     VERSION_PROBE_ANSWER,
     PlainMessage,
--- a/packages/daemon/src/knapweedbridge_daemon/serving/plain_router.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/plain_router.py
@@ -22,12 +22,12 @@
 )
 from knapweedbridge_core.serving.plain_messages import PlainLoadReport
 from knapweedbridge_daemon.serving.hub import Hub, Send
-from knapweedbridge_daemon.serving.plain_greeting import PlainMessage
 from knapweedbridge_daemon.serving.plain_load_client import PlainLoadClient
 from knapweedbridge_daemon.serving.plain_load_server import (
     PlainLoadServer,
     load_coordinator,
 )
+from knapweedbridge_daemon.serving.plain_version_probe import PlainMessage
 
 ANSWER_S = 0.03
 """How long a request waits in all for answers: they take 2 to 4 ms, and objectives of
