--- a/packages/daemon/src/knapweedbridge_daemon/main.py
+++ b/packages/daemon/src/knapweedbridge_daemon/main.py
@@ -15,7 +15,10 @@
 from knapweedbridge_daemon.local_files import load_settings, read_text
 from knapweedbridge_daemon.logs import logging_to
 from knapweedbridge_daemon.serving.main import serve
-from knapweedbridge_daemon.serving.settings import is_serving, read_serving_settings
+from knapweedbridge_daemon.serving.settings import (
+    is_serving_settings,
+    read_serving_settings,
+)
 
 EXIT_BAD_SETTINGS = 2
 EXIT_CUT = 3
@@ -37,7 +40,7 @@
     def __call__(self) -> None:
         """Check the settings, then serve until a signal."""
         text = self._text()
-        if is_serving(text):
+        if is_serving_settings(text):
             self._serve_by_dialect(text)
             return
         settings = self._read()
--- a/packages/daemon/src/knapweedbridge_daemon/serving/settings.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/settings.py
@@ -157,7 +157,7 @@
         return self.values[section][key]
 
 
-def is_serving(text: str) -> bool:
+def is_serving_settings(text: str) -> bool:
     """Tell whether a settings file is of this kind."""
     return "[serving]" in text
 
