--- a/packages/daemon/src/knapweedbridge_daemon/serving/call.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/call.py
@@ -107,7 +107,7 @@
         return self.deadline_s - loop_time_s()
 
     @property
-    def caller_until_s(self) -> float:
+    def caller_deadline_s(self) -> float:
         """When its caller's last attempt is over, on the daemon's clock."""
         stated_s = self.details.deadline_s
         waits_s = self.route.timeout_s if stated_s is None else stated_s
--- a/packages/daemon/src/knapweedbridge_daemon/serving/stream_resumer.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/stream_resumer.py
@@ -99,7 +99,7 @@
         if not (call.route.resumable and stream):
             return
         now_s = loop_time_s()
-        origin = StreamOrigin(call.service, call.software, call.caller_until_s)
+        origin = StreamOrigin(call.service, call.software, call.caller_deadline_s)
         self._own.record(stream, origin, now_s)
         if self._hub.cluster.fleet.software.has_several(call.service, now_s):
             await self._publish([(stream, origin)])
@@ -263,7 +263,7 @@
 
         All attempts of a caller end by the deadline of the first.
         """
-        left_s = call.caller_until_s - loop_time_s()
+        left_s = call.caller_deadline_s - loop_time_s()
         return max(0.0, call.route.timeout_s - left_s)
 
     async def _inquire(self, call: Call) -> Inquiry:
--- a/packages/standins/src/knapweedbridge_standins/serving_histories/stream_origins.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_histories/stream_origins.py
@@ -132,7 +132,7 @@
     details: CallDetails
     route: Route
     service: str
-    caller_until_s: float
+    caller_deadline_s: float
     software: str | None = None
 
     def may_go_to(self, endpoint: Endpoint) -> bool:
