--- a/packages/daemon/src/knapweedbridge_daemon/serving/endpoint_connector.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/endpoint_connector.py
@@ -74,8 +74,8 @@
         self._wake = anyio.Event()
         self._checked: set[str] = set()
 
-    def is_carried_by(self, forwarder: str, address: str) -> bool:
-        """See `Connector.is_carried_by`."""
+    def may_reuse_tunnel(self, forwarder: str, address: str) -> bool:
+        """See `Connector.may_reuse_tunnel`."""
         return forwarder in self._tunnels.forwarders and self._hub.paths.is_cut(address)
 
     async def connect(self, destination: Destination) -> ClientStream:
--- a/packages/daemon/src/knapweedbridge_daemon/serving/http_client.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/http_client.py
@@ -60,7 +60,7 @@
     async def connect(self, destination: Destination) -> ClientStream:
         """Open a connection; raises NotSentError if none can be made."""
 
-    def is_carried_by(self, forwarder: str, address: str) -> bool:
+    def may_reuse_tunnel(self, forwarder: str, address: str) -> bool:
         """Return whether a connection that another host carries is used again."""
         return False
 
@@ -148,7 +148,7 @@
         forwarder = connection.forwarder
         if not forwarder:
             return True
-        return self.connector.is_carried_by(forwarder, connection.address)
+        return self.connector.may_reuse_tunnel(forwarder, connection.address)
 
     async def close_idle(self, wanted: set[str] | None = None) -> None:
         """Close connections whose idle life is over, or that lead elsewhere."""
