--- a/features/accounts/steps/keeper_steps.py
+++ b/features/accounts/steps/keeper_steps.py
@@ -13,9 +13,9 @@
     RetryBudget,
 )
 from knapweedbridge_core.serving.cluster_state import DaemonNamed, DeploymentNamed
+from knapweedbridge_daemon.serving.account_quotas import AccountQuotas
 from knapweedbridge_daemon.serving.hub import Hub, Identity
 from knapweedbridge_daemon.serving.metrics_registry import MetricsRegistry
-from knapweedbridge_daemon.serving.quota_shares import AccountQuotas
 from knapweedbridge_standins.virtual_loop import run_virtually
 
 RATE = 4000
--- a/packages/daemon/src/knapweedbridge_daemon/serving/callers_app.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/callers_app.py
@@ -7,6 +7,7 @@
 import anyio
 
 from knapweedbridge_core.serving import RequestLimits, Route, fingerprint, shared_parts
+from knapweedbridge_daemon.serving.account_quotas import AccountQuotas
 from knapweedbridge_daemon.serving.attempt_records import MARK_DIGITS
 from knapweedbridge_daemon.serving.call import Call
 from knapweedbridge_daemon.serving.call_runner import CallRunner
@@ -19,7 +20,6 @@
     Responder,
 )
 from knapweedbridge_daemon.serving.hub import Hub
-from knapweedbridge_daemon.serving.quota_shares import AccountQuotas
 from knapweedbridge_daemon.serving.wire import get_header
 
 STOPPING_AFTER_S = 0.05
--- a/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
@@ -22,6 +22,7 @@
 )
 from knapweedbridge_daemon.peer_sockets import PeerListener
 from knapweedbridge_daemon.peers import Peers
+from knapweedbridge_daemon.serving.account_quotas import AccountQuotas
 from knapweedbridge_daemon.serving.backpressure_recorder import BackpressureRecorder
 from knapweedbridge_daemon.serving.crash_watch import CrashWatch, OfLosses
 from knapweedbridge_daemon.serving.engine_owners import EngineOwners, OwnerMessage
@@ -33,7 +34,6 @@
     PlainMessage,
     is_plain_message,
 )
-from knapweedbridge_daemon.serving.quota_shares import AccountQuotas
 from knapweedbridge_daemon.serving.running_calls import RunningCalls
 from knapweedbridge_daemon.serving.store_update_codec import unpack_engines
 from knapweedbridge_daemon.serving.stream_resumer import OfOrigins, StreamResumer
