--- a/packages/daemon/src/knapweedbridge_daemon/serving/hub.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/hub.py
@@ -52,7 +52,7 @@
     peers_address: str
 
 
-class Changes:
+class ChangeNotifier:
     """Wakes the tasks that wait for a change of what is believed."""
 
     def __init__(self) -> None:
@@ -129,9 +129,9 @@
     store_age: StoreAge = field(default_factory=StoreAge)
     outage: StoreOutage = field(default_factory=lambda: StoreOutage(SETTLE_S))
     steady_s: Callable[[], float] = suspended_clock_s
-    engines_changed: Changes = field(default_factory=Changes)
-    cluster_changed: Changes = field(default_factory=Changes)
-    losses_changed: Changes = field(default_factory=Changes)
+    engines_changed: ChangeNotifier = field(default_factory=ChangeNotifier)
+    cluster_changed: ChangeNotifier = field(default_factory=ChangeNotifier)
+    losses_changed: ChangeNotifier = field(default_factory=ChangeNotifier)
     lease_revision: int = 0
     store_era: int = 0
     draining: bool = False
