--- a/packages/daemon/src/knapweedbridge_daemon/serving/crash_watch.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/crash_watch.py
@@ -253,7 +253,7 @@
         self._hub.crashes.record_alive(endpoint.start, loop_time_s())
         self._hub.losses_changed.tell()
 
-    async def endpoint_unlisted(self, endpoint: str) -> None:
+    async def record_unlisted(self, endpoint: str) -> None:
         """Record that an endpoint's entry was removed."""
         await self.endpoint_lost(endpoint, "unlisted")
 
--- a/packages/daemon/src/knapweedbridge_daemon/serving/host.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/host.py
@@ -144,7 +144,7 @@
         follower = StoreFollower(
             hub,
             link.ask_relay,
-            link.crashes.endpoint_unlisted,
+            link.crashes.record_unlisted,
             link.relaying.record_store_changes,
         )
         link.on_store_update = follower.heard
--- a/packages/standins/src/knapweedbridge_standins/relay_pool/pool.py
+++ b/packages/standins/src/knapweedbridge_standins/relay_pool/pool.py
@@ -61,7 +61,7 @@
         self.follower = StoreFollower(
             self.hub,
             self.link.ask_relay,
-            self.link.crashes.endpoint_unlisted,
+            self.link.crashes.record_unlisted,
             self.link.relaying.record_store_changes,
         )
         self.link.on_store_update = self.follower.heard
