--- a/packages/daemon/src/knapweedbridge_daemon/serving/byte_stream.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/byte_stream.py
@@ -36,7 +36,7 @@
 )
 
 
-def set_options(raw: Any) -> None:
+def set_socket_options(raw: Any) -> None:
     """Have the system end a connection that something between its ends has lost."""
     if raw is None:
         # The connection is gone already.
@@ -99,7 +99,7 @@
         # Writers wait until the kernel has all bytes: what a slow reader does not
         # take is held once, and its source is not read further.
         self._transport.set_write_buffer_limits(0)
-        set_options(self._transport.get_extra_info("socket"))
+        set_socket_options(self._transport.get_extra_info("socket"))
 
     def data_received(self, data: bytes) -> None:
         """See `asyncio.Protocol`."""
--- a/packages/daemon/src/knapweedbridge_daemon/serving/forwarding.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/forwarding.py
@@ -16,7 +16,7 @@
 from knapweedbridge_daemon.peer_sockets import PeerSocket
 from knapweedbridge_daemon.peers import STREAM_ERRORS
 from knapweedbridge_daemon.serving import byte_stream
-from knapweedbridge_daemon.serving.byte_stream import ByteStream, set_options
+from knapweedbridge_daemon.serving.byte_stream import ByteStream, set_socket_options
 from knapweedbridge_daemon.serving.clock import loop_time_s
 from knapweedbridge_daemon.serving.hub import Hub
 from knapweedbridge_daemon.serving.tunnels import CHUNK_BYTES, END
@@ -103,7 +103,7 @@
             await self._refuse(host, stream, asked, reason)
             return
         with contextlib.closing(upstream):
-            set_options(stream.raw)
+            set_socket_options(stream.raw)
             self._hub.paths.record_direct(asked.address, loop_time_s())
             self._hub.metrics.count("tunnels_asked", "carried")
             await stream.send(encode(TunnelOpened(self.tunnels)))
--- a/packages/daemon/src/knapweedbridge_daemon/serving/tunnels.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/tunnels.py
@@ -18,7 +18,7 @@
 from knapweedbridge_daemon.handshake import Handshake
 from knapweedbridge_daemon.peer_sockets import PeerSocket, connect_peer
 from knapweedbridge_daemon.peers import STREAM_ERRORS
-from knapweedbridge_daemon.serving.byte_stream import set_options
+from knapweedbridge_daemon.serving.byte_stream import set_socket_options
 from knapweedbridge_daemon.serving.client_streams import ClientStream
 from knapweedbridge_daemon.serving.clock import loop_time_s
 from knapweedbridge_daemon.serving.http_client import Destination, NotSentError
@@ -289,7 +289,7 @@
         async with AsyncExitStack() as stack:
             made = await connect_peer(*split_address(record.address))
             stack.callback(made.abort)
-            set_options(made.raw)
+            set_socket_options(made.raw)
             handshake = Handshake(identity.name, identity.incarnation, cluster.secret)
             await handshake.greet(made, name)
             stream = TunnelStream(made, name)
