--- a/packages/daemon/src/knapweedbridge_daemon/serving/engine_owner.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/engine_owner.py
@@ -38,7 +38,7 @@
 from knapweedbridge_daemon.serving.hub import Hub, Send, suspended_clock_s
 from knapweedbridge_daemon.serving.permits import Permits
 from knapweedbridge_daemon.serving.speed_tracker import SpeedTracker
-from knapweedbridge_daemon.serving.turn_giving import TurnScheduler
+from knapweedbridge_daemon.serving.turn_scheduler import TurnScheduler
 from knapweedbridge_daemon.serving.wake import Wake
 from knapweedbridge_daemon.serving.wire import ResponseHead, WireRequest
 
