--- a/features/serving/steps/relay_steps.py
+++ b/features/serving/steps/relay_steps.py
@@ -168,7 +168,7 @@
         others = subscribers(
             context.cluster.daemons.values(), "d1", context.relays[1], context.relays
         )
-        await context.relaying.asked(others[0], RelayRequest())
+        await context.relaying.record_relay_request(others[0], RelayRequest())
         await tell(context, now_s + 0.2)
 
     anyio.run(story)
@@ -244,10 +244,10 @@
     hub.dialects = SimpleNamespace(
         store=context.store, store_items=SimpleNamespace(prefix="")
     )
-    context.asked = []
+    context.record_relay_request = []
 
     async def ask(relay):
-        context.asked.append(relay)
+        context.record_relay_request.append(relay)
 
     context.follower = StoreFollower(hub, ask, None, lambda *changes: None)
     context.follower._revision = 7
@@ -284,7 +284,7 @@
 @then("it has asked {whom}, and has looked at the store: {looked}")
 def has_asked(context, whom, looked):
     expected = [context.relays[1]] if whom == "the other relay" else []
-    assert context.asked == expected, context.asked
+    assert context.record_relay_request == expected, context.record_relay_request
     assert (context.store.looks > 0) == (looked == "yes"), context.store.looks
 
 
--- a/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
@@ -184,7 +184,7 @@
         elif isinstance(message, StoreMark):
             self.relaying.record_mark(daemon, message.mark_s)
         else:
-            await self.relaying.asked(daemon, message)
+            await self.relaying.record_relay_request(daemon, message)
 
     def _take_told(self, message: EngineTold, now_s: float) -> bool:
         """Take all that is told of an engine; False where that is outdated."""
--- a/packages/daemon/src/knapweedbridge_daemon/serving/update_relay.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/update_relay.py
@@ -119,7 +119,7 @@
             self._marks.record_mark(daemon, mark_s, self._hub.steady_s())
             self._adopted_s[daemon] = anyio.current_time()
 
-    async def asked(self, daemon: str, message: RelayRequest) -> None:
+    async def record_relay_request(self, daemon: str, message: RelayRequest) -> None:
         """Tell a daemon what it has missed, and go on telling it for some seconds."""
         if not self.is_relay:
             return
@@ -159,8 +159,8 @@
         news = self._items or self._rows
         wanted = self._hearers(now_s)
         new = [name for name in wanted if name not in self._told]
-        asked = new or self._missed_after
-        if not news and not asked and now_s - self._told_s < STILL_S:
+        record_relay_request = new or self._missed_after
+        if not news and not record_relay_request and now_s - self._told_s < STILL_S:
             return
         told = self._message(self._rows, now_s)
         full = self._message(self._all_rows(now_s), now_s) if new else None
