--- a/features/prompt_parts/steps/part_steps.py
+++ b/features/prompt_parts/steps/part_steps.py
@@ -209,17 +209,17 @@
     traffic = context.traffic = Traffic(path, (0,))
     await traffic.warm_up()
     context.pool = crash_by_parts(path, "refuses")
-    lost = CrashWatch.endpoint_lost
+    lost = CrashWatch.record_endpoint_lost
 
     async def lost_later(link, *loss):
         await anyio.sleep(seconds)
         await lost(link, *loss)
 
-    CrashWatch.endpoint_lost = lost_later
+    CrashWatch.record_endpoint_lost = lost_later
     try:
         await traffic.come(1)
     finally:
-        CrashWatch.endpoint_lost = lost
+        CrashWatch.record_endpoint_lost = lost
 
 
 @then("no request with the part reaches an engine within those {seconds:g} s")
--- a/packages/daemon/src/knapweedbridge_daemon/serving/crash_watch.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/crash_watch.py
@@ -174,7 +174,7 @@
         return True
 
     def note_lost(self, endpoint: str, cause: str) -> None:
-        """Record that an endpoint is gone; see `endpoint_lost`."""
+        """Record that an endpoint is gone; see `record_endpoint_lost`."""
         self._lost.append((endpoint, cause))
         self._hub.losses_changed.tell()
 
@@ -188,7 +188,7 @@
                     self._lost.append((name, "replaced"))
             await self._notify_held()
             while self._lost:
-                await self.endpoint_lost(*self._lost.pop())
+                await self.record_endpoint_lost(*self._lost.pop())
             await self._clear()
             while self._found:
                 loss, found = self._found.pop()
@@ -244,7 +244,9 @@
         self._hub.metrics.count("probes", cause or "nothing_found")
         if cause:
             endpoint.record_unreachable(loop_time_s())
-            await self.endpoint_lost(endpoint.name, cause, endpoint.start.started_ms)
+            await self.record_endpoint_lost(
+                endpoint.name, cause, endpoint.start.started_ms
+            )
         elif lives:
             self._note_lives(endpoint)
 
@@ -255,9 +257,9 @@
 
     async def record_unlisted(self, endpoint: str) -> None:
         """Record that an endpoint's entry was removed."""
-        await self.endpoint_lost(endpoint, "unlisted")
+        await self.record_endpoint_lost(endpoint, "unlisted")
 
-    async def endpoint_lost(
+    async def record_endpoint_lost(
         self, endpoint: str, cause: str, started_ms: int = 0
     ) -> None:
         """Blame the calls that an endpoint was lost with, on all daemons.
--- a/packages/daemon/src/knapweedbridge_daemon/serving/endpoint_sweep.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/endpoint_sweep.py
@@ -63,7 +63,7 @@
             before_ms=before.record.started_ms,
         )
         await hub.pool.close_idle_to(before.record.address)
-        await self._link.crashes.endpoint_lost(
+        await self._link.crashes.record_endpoint_lost(
             before.name, "restarted", before.record.started_ms
         )
         hub.engines_changed.tell()
