--- a/packages/core/src/knapweedbridge_core/suspects.py
+++ b/packages/core/src/knapweedbridge_core/suspects.py
@@ -84,7 +84,7 @@
     ----------
     lapse_s : float
         How long after its last loss a fingerprint stays suspected.
-    suspects : int
+    max_suspects : int
         Greatest number of entries; the oldest with one loss falls out first.
     longest_lapse_s : float or None
         Longest refusal, where each lasts longer than the one before it; None: all last
@@ -94,11 +94,11 @@
     def __init__(
         self,
         lapse_s: float = 600.0,
-        suspects: int = 1000,
+        max_suspects: int = 1000,
         longest_lapse_s: float | None = None,
     ) -> None:
         self.lapse_s = lapse_s
-        self.suspects = suspects
+        self.max_suspects = max_suspects
         self.longest_lapse_s = longest_lapse_s
         self._table: dict[str, Suspect] = {}
 
@@ -202,7 +202,7 @@
                 del self._table[fingerprint]
 
     def _bound(self) -> None:
-        while len(self._table) > self.suspects:
+        while len(self._table) > self.max_suspects:
             oldest = min(
                 self._table,
                 key=lambda held: (
--- a/packages/daemon/src/knapweedbridge_daemon/daemon.py
+++ b/packages/daemon/src/knapweedbridge_daemon/daemon.py
@@ -91,7 +91,7 @@
             settings.get("listen", "administration"),
         )
         bridge.blame.lapse_s = settings.get("blame", "lapse_s")
-        bridge.blame.suspects = settings.get("blame", "suspects")
+        bridge.blame.max_suspects = settings.get("blame", "suspects")
         timeline = Timeline(settings.host, settings.get("logs", "timeline_events"))
         metrics = Metrics(settings.get("logs", "statsd"))
         observer = Observer(timeline, metrics, settings.get("logs", "level"))
