--- a/features/paths/steps/tunnel_steps.py
+++ b/features/paths/steps/tunnel_steps.py
@@ -335,7 +335,7 @@
         found["a host to an endpoint"] = direct._transport.get_extra_info("socket")
 
         async def take(stream):
-            own = ByteStream.take_over(stream)
+            own = ByteStream.from_anyio(stream)
             found["a caller to a host"] = own._transport.get_extra_info("socket")
             made.set()
             await anyio.sleep_forever()
--- a/packages/daemon/src/knapweedbridge_daemon/serving/byte_stream.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/byte_stream.py
@@ -69,7 +69,7 @@
         self._timer: asyncio.TimerHandle | None = None
 
     @classmethod
-    def take_over(cls, stream: SocketStream) -> "ByteStream":
+    def from_anyio(cls, stream: SocketStream) -> "ByteStream":
         """Return a stream that has the connection of an accepted anyio stream.
 
         The transport has no public name there; the version of anyio is pinned.
--- a/packages/daemon/src/knapweedbridge_daemon/serving/http_server.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/http_server.py
@@ -110,7 +110,7 @@
     def __init__(self, face: "HttpServer", stream: SocketStream) -> None:
         self._face = face
         self._stream = stream
-        self._wire = ByteStream.take_over(stream)
+        self._wire = ByteStream.from_anyio(stream)
         self._reader = RequestReader(self._wire)
         self._packer = ResponsePacker(b"", Framing())
 
