--- a/features/plain/steps/memory_steps.py
+++ b/features/plain/steps/memory_steps.py
@@ -4,11 +4,11 @@
 from behave import given, then, when
 
 from knapweedbridge_core.serving import HeldKind, MemoryBudget
-from knapweedbridge_daemon.serving.held_memory import PIECE_BYTES, MemoryGuard
 from knapweedbridge_daemon.serving.http_server import (
     CallerDisconnectedError,
     ReceivedRequest,
 )
+from knapweedbridge_daemon.serving.memory_guard import PIECE_BYTES, MemoryGuard
 from knapweedbridge_daemon.serving.metrics_registry import MetricsRegistry
 from knapweedbridge_daemon.serving.wire import RequestHead, ResponseHead
 from knapweedbridge_platform.callers import PlatformCallers
--- a/packages/daemon/src/knapweedbridge_daemon/serving/host.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/host.py
@@ -26,11 +26,11 @@
 from knapweedbridge_daemon.serving.endpoint_connector import EndpointConnector
 from knapweedbridge_daemon.serving.endpoint_sweep import EndpointSweep
 from knapweedbridge_daemon.serving.forwarding import TunnelForwarder
-from knapweedbridge_daemon.serving.held_memory import MemoryGuard
 from knapweedbridge_daemon.serving.http_server import HttpServer
 from knapweedbridge_daemon.serving.hub import Hub, Identity
 from knapweedbridge_daemon.serving.lapse_check import LapseCheck
 from knapweedbridge_daemon.serving.lease_controller import LeaseController
+from knapweedbridge_daemon.serving.memory_guard import MemoryGuard
 from knapweedbridge_daemon.serving.metrics_registry import MetricsRegistry
 from knapweedbridge_daemon.serving.peer_link import PeerLink
 from knapweedbridge_daemon.serving.refusal_records import RefusalRecords
