--- a/bench/peer_messages.py
+++ b/bench/peer_messages.py
@@ -241,7 +241,7 @@
 
     async def look() -> None:
         for _ in range(MESSAGES):
-            assert relaying._hearers(now_s)
+            assert relaying._subscribers(now_s)
 
     return await measure_us(look) / MESSAGES
 
--- a/packages/daemon/src/knapweedbridge_daemon/serving/update_relay.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/update_relay.py
@@ -157,7 +157,7 @@
     async def tell(self, now_s: float) -> None:
         """Tell the hearers what came since they were told last."""
         news = self._items or self._rows
-        wanted = self._hearers(now_s)
+        wanted = self._subscribers(now_s)
         new = [name for name in wanted if name not in self._told]
         record_relay_request = new or self._missed_after
         if not news and not record_relay_request and now_s - self._told_s < STILL_S:
@@ -208,10 +208,10 @@
         if not self.is_relay:
             return []
         relays = set(chain(*self._hub.cluster.relays.values()))
-        found = self._hearers(anyio.current_time())
+        found = self._subscribers(anyio.current_time())
         return [name for name in found if name not in relays]
 
-    def _hearers(self, now_s: float) -> list[str]:
+    def _subscribers(self, now_s: float) -> list[str]:
         found = self._find_own_hearers()
         for name, asked_s in list(self._adopted_s.items()):
             if now_s - asked_s > ADOPTED_S:
