--- a/packages/daemon/src/knapweedbridge_daemon/serving/crash_watch.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/crash_watch.py
@@ -81,7 +81,7 @@
 
     Attributes
     ----------
-    not_refused : set of str
+    cleared_calls : set of str
         Calls that got answers, whose refusal the store must not say any more.
     """
 
@@ -90,7 +90,7 @@
         self._send = send
         self._notifier = BlameNotifier(hub, send)
         hub.crashes.parts.turn_of = self._turn_of
-        self.not_refused: set[str] = set()
+        self.cleared_calls: set[str] = set()
         self._found: list[tuple[str, LossEvidence]] = []
         self._cleared: list[str] = []
         self._held: tuple[set[str], set[str]] = (set(), set())
@@ -207,7 +207,7 @@
 
     async def _clear(self) -> None:
         marks, self._cleared = self._cleared, []
-        self.not_refused.update(marks)
+        self.cleared_calls.update(marks)
         await self._notifier.notify_calls_cleared(marks)
         ledger = self._hub.crashes.parts
         parts, ledger.to_clear = ledger.to_clear, set()
@@ -314,7 +314,7 @@
             case CallsCleared():
                 for mark in message.fingerprints:
                     crashes.answered(mark)
-                    self.not_refused.add(mark)
+                    self.cleared_calls.add(mark)
             case PartsBlamed():
                 await self._accused(daemon, message, now_s)
             case PartsCleared():
--- a/packages/daemon/src/knapweedbridge_daemon/serving/host.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/host.py
@@ -176,7 +176,7 @@
                     tasks.start_soon(EndpointSweep(hub, link).run)
                     tasks.start_soon(LapseCheck(hub).run)
                     tasks.start_soon(SoftwareRecords(hub).run)
-                    refusals = RefusalRecords(hub, link.crashes.not_refused)
+                    refusals = RefusalRecords(hub, link.crashes.cleared_calls)
                     tasks.start_soon(refusals.run)
                     tasks.start_soon(held.run)
                     await self._await_stop(hub, lease, face, app, link.forwarding)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/refusal_records.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/refusal_records.py
@@ -30,15 +30,15 @@
     ----------
     hub : Hub
         The ledger of crashes, and the store.
-    not_refused : set of str
+    cleared_calls : set of str
         Calls whose records are to be removed.
     """
 
     __slots__ = ("_hub", "_missing_since_s", "_not_refused")
 
-    def __init__(self, hub: Hub, not_refused: set[str]) -> None:
+    def __init__(self, hub: Hub, cleared_calls: set[str]) -> None:
         self._hub = hub
-        self._not_refused = not_refused
+        self._not_refused = cleared_calls
         self._missing_since_s: dict[str, float] = {}
 
     async def run(self) -> None:
