--- a/bench/overload_scenarios.py
+++ b/bench/overload_scenarios.py
@@ -42,12 +42,12 @@
 }
 
 
-def bridge_maker(blame: Callable[[], SuspectTable]) -> Callable[[str, str], Bridge]:
+def bridge_maker(suspects: Callable[[], SuspectTable]) -> Callable[[str, str], Bridge]:
     """Return a maker of cores that keep blame in one way."""
 
     def make(host: str, data_centre: str) -> Bridge:
         bridge = Bridge(host, data_centre)
-        bridge._context.blame = blame()
+        bridge._context.suspects = suspects()
         return bridge
 
     return make
@@ -84,7 +84,7 @@
     batch: int = 16,
     service_s: Callable[[events.Request], float] = lambda request: 1.0,
     crashing: frozenset[str] = frozenset(),
-    blame: Callable[[], SuspectTable] = SuspectTable,
+    suspects: Callable[[], SuspectTable] = SuspectTable,
     models: tuple[str, ...] = (MODEL,),
     extra: dict[str, dict[str, str]] | None = None,
     make_bridge: Callable[[str, str], Bridge] | None = None,
@@ -99,7 +99,7 @@
         for name in (f"draft-{place}" for place in range(engines))
     }
     configuration = configuration_of(engines, batch, models, extra)
-    maker = make_bridge or bridge_maker(blame)
+    maker = make_bridge or bridge_maker(suspects)
     return VirtualPool(daemons, configuration, clock, fakes, maker)
 
 
@@ -179,7 +179,7 @@
 
 
 def run_crashing(
-    blame: Callable[[], SuspectTable],
+    suspects: Callable[[], SuspectTable],
     *,
     innocents: int = 40,
     crashing: bool = True,
@@ -194,7 +194,7 @@
     """
     rng = random.Random(seed)
     bad = frozenset({"crash"} if crashing else ())
-    pool = make_pool(4, engines, batch=64, crashing=bad, blame=blame)
+    pool = make_pool(4, engines, batch=64, crashing=bad, suspects=suspects)
     askers = Askers(pool)
     begun_s = pool.clock.now_s
     for engine in list(pool.engines.values())[1:]:
--- a/features/overload/steps/blame_steps.py
+++ b/features/overload/steps/blame_steps.py
@@ -15,8 +15,8 @@
 
 
 @when('a request that crashes engines runs beside {count:d} others with "{blame}"')
-def crashing(context, count, blame):
-    context.found = run_crashing(BLAMES[blame], innocents=count)
+def crashing(context, count, suspects):
+    context.found = run_crashing(BLAMES[suspects], innocents=count)
 
 
 @then("{lost} endpoints were lost")
@@ -72,7 +72,7 @@
 @then("nobody is suspected")
 def nobody_suspected(context):
     for bridge in context.pool.bridges.values():
-        assert len(bridge.blame) == 0, list(bridge.blame.entries())
+        assert len(bridge.suspects) == 0, list(bridge.suspects.entries())
 
 
 @given('"{fingerprint}" lost two endpoints')
@@ -87,7 +87,7 @@
 @when("a daemon forgets all, and its peers link to it again")
 def forget(context):
     bridge = context.pool.bridges["host-2"]
-    bridge.blame.clear("crash")
+    bridge.suspects.clear("crash")
     for peer in ("host-0", "host-1"):
         context.pool.tell(peer, events.PeerConnected("host-2"))
     context.pool.clock.run(0.1)
@@ -117,37 +117,37 @@
 
 @given("an empty table of blame")
 def table(context):
-    context.blame = SuspectTable()
+    context.suspects = SuspectTable()
 
 
 @when('losses of "{first}" and "{second}" are told of "{fingerprint}" and never proved')
 def told(context, first, second, fingerprint):
-    context.blame.suspect(fingerprint, "a.1", first, 100.0)
-    context.blame.suspect(fingerprint, "b.1", second, 100.0)
+    context.suspects.suspect(fingerprint, "a.1", first, 100.0)
+    context.suspects.suspect(fingerprint, "b.1", second, 100.0)
 
 
 @then('"{fingerprint}" is judged "{verdict}" at first')
 def judged_first(context, fingerprint, verdict):
-    assert context.blame.judge(fingerprint, 100.0) is Verdict(verdict)
+    assert context.suspects.judge(fingerprint, 100.0) is Verdict(verdict)
 
 
 @then('"{fingerprint}" is judged "{verdict}" after {seconds:d} seconds')
 def judged_after(context, fingerprint, verdict, seconds):
-    assert context.blame.judge(fingerprint, 100.0 + seconds) is Verdict(verdict)
+    assert context.suspects.judge(fingerprint, 100.0 + seconds) is Verdict(verdict)
 
 
 @when('{count:d} fingerprints are suspected after "{fingerprint}" lost two endpoints')
 def many(context, count, fingerprint):
     told(context, "e0", "e1", fingerprint)
     for loss_id in ("a.1", "b.1"):
-        context.blame.proved(fingerprint, loss_id)
+        context.suspects.proved(fingerprint, loss_id)
     for place in range(count):
-        context.blame.suspect(f"f{place}", f"a.{place}", "e0", 101.0)
+        context.suspects.suspect(f"f{place}", f"a.{place}", "e0", 101.0)
 
 
 @then("the table holds {count:d} entries")
 def holds(context, count):
-    assert len(context.blame) == count
+    assert len(context.suspects) == count
 
 
 @then('"{fingerprint}" is judged "{verdict}" at once')
--- a/packages/core/src/knapweedbridge_core/bridge.py
+++ b/packages/core/src/knapweedbridge_core/bridge.py
@@ -106,9 +106,9 @@
         return self._context.configuration
 
     @property
-    def blame(self) -> SuspectTable:
+    def suspects(self) -> SuspectTable:
         """Requests that this daemon suspects of crashing endpoints."""
-        return self._context.blame
+        return self._context.suspects
 
     @property
     def members(self) -> Members:
--- a/packages/core/src/knapweedbridge_core/context.py
+++ b/packages/core/src/knapweedbridge_core/context.py
@@ -60,7 +60,7 @@
         self.view = View()
         self.fencing_numbers = FencingNumbers()
         self.leaving = Leaving()
-        self.blame = SuspectTable()
+        self.suspects = SuspectTable()
         self.now_s = 0.0
         self.sender = host
         self._actions: list[Action] = []
--- a/packages/core/src/knapweedbridge_core/request_side.py
+++ b/packages/core/src/knapweedbridge_core/request_side.py
@@ -131,7 +131,7 @@
             self._route(live)
 
     def _route(self, live: LiveRequest) -> None:
-        verdict = self._context.blame.judge(
+        verdict = self._context.suspects.judge(
             live.request.fingerprint, self._context.now_s
         )
         if verdict is Verdict.REFUSE:
@@ -147,7 +147,7 @@
             self._route_model(live)
 
     def _refuse_blamed(self, live: LiveRequest) -> None:
-        wait_s = self._context.blame.refused_for_s(
+        wait_s = self._context.suspects.refused_for_s(
             live.request.fingerprint, self._context.now_s
         )
         outcome = NotRun(Reason.BLAMED, wait_s)
--- a/packages/core/src/knapweedbridge_core/suspect_side.py
+++ b/packages/core/src/knapweedbridge_core/suspect_side.py
@@ -39,9 +39,9 @@
         self._incarnations: dict[str, str] = {}
 
     @property
-    def blame(self) -> SuspectTable:
+    def suspects(self) -> SuspectTable:
         """The table of this daemon."""
-        return self._context.blame
+        return self._context.suspects
 
     def handlers(self) -> dict[type, Handler]:
         """See `Side.handlers`."""
@@ -55,7 +55,7 @@
         }
 
     def _tick(self, event: events.Tick) -> None:
-        self.blame.lapse(self._context.now_s)
+        self.suspects.lapse(self._context.now_s)
 
     def _attempt_judged(self, event: events.AttemptResult) -> None:
         outcome = event.outcome
@@ -65,7 +65,7 @@
             self._suspect(event.request, event.attempt_id, event.endpoint)
 
     def _clear(self, fingerprint: str) -> None:
-        if self.blame.clear(fingerprint):
+        if self.suspects.clear(fingerprint):
             self._context.record("blame.cleared", fingerprint=fingerprint)
             self._context.broadcast(messages.BlameCleared(fingerprint))
 
@@ -75,7 +75,7 @@
             return
         fingerprint = request.fingerprint
         now_s = self._context.now_s
-        if not self.blame.suspect(fingerprint, loss_id, endpoint, now_s):
+        if not self.suspects.suspect(fingerprint, loss_id, endpoint, now_s):
             return
         self._tell(fingerprint, loss_id, endpoint, LossState.SUSPECTED)
         entry = self._context.configuration.endpoints.get(endpoint)
@@ -131,22 +131,22 @@
         state = LossState(message.state)
         at_s = self._context.now_s - message.age_s
         if state is not LossState.WITHDRAWN:
-            self.blame.suspect(
+            self.suspects.suspect(
                 message.fingerprint, message.loss_id, message.endpoint, at_s
             )
         self._apply(message.fingerprint, message.loss_id, state)
 
     def _apply(self, fingerprint: str, loss_id: str, state: LossState) -> None:
         if state is LossState.PROVED:
-            self.blame.proved(fingerprint, loss_id)
+            self.suspects.proved(fingerprint, loss_id)
         elif state is LossState.WITHDRAWN:
-            self.blame.withdraw(fingerprint, loss_id)
+            self.suspects.withdraw(fingerprint, loss_id)
 
     def _cleared(self, message: messages.BlameCleared) -> None:
-        self.blame.clear(message.fingerprint)
+        self.suspects.clear(message.fingerprint)
 
     def _peer_linked(self, event: events.PeerConnected) -> None:
-        for fingerprint, loss_id, loss in self.blame.entries():
+        for fingerprint, loss_id, loss in self.suspects.entries():
             age_s = self._context.now_s - loss.at_s
             told = messages.BlameTold(
                 fingerprint, loss_id, loss.endpoint, loss.state.value, age_s
--- a/packages/daemon/src/knapweedbridge_daemon/daemon.py
+++ b/packages/daemon/src/knapweedbridge_daemon/daemon.py
@@ -90,8 +90,8 @@
             timing,
             settings.get("listen", "administration"),
         )
-        bridge.blame.lapse_s = settings.get("blame", "lapse_s")
-        bridge.blame.max_suspects = settings.get("blame", "suspects")
+        bridge.suspects.lapse_s = settings.get("blame", "lapse_s")
+        bridge.suspects.max_suspects = settings.get("blame", "suspects")
         timeline = Timeline(settings.host, settings.get("logs", "timeline_events"))
         metrics = Metrics(settings.get("logs", "statsd"))
         observer = Observer(timeline, metrics, settings.get("logs", "level"))
