--- a/bench/peer_messages.py
+++ b/bench/peer_messages.py
@@ -188,7 +188,9 @@
         hub, endpoint, limits, OwnerRecord("h0", 1, 7), send, calm, calm
     )
     shown = {model: 1 for model in MODELS}
-    owner.keeper.apply_report(EngineReport(0, ("m",), shown, {}), anyio.current_time())
+    owner.controller.apply_report(
+        EngineReport(0, ("m",), shown, {}), anyio.current_time()
+    )
     packed = [
         encode(
             CallsReport(
@@ -223,11 +225,11 @@
     """Measure a look for engines without an owner, where all have one."""
     hub = make_hub()
     follower: Any = SimpleNamespace()
-    keeper = LeaseController(hub, follower)
+    controller = LeaseController(hub, follower)
 
     async def look() -> None:
         for _ in range(MESSAGES):
-            assert not list(keeper._due())
+            assert not list(controller._due())
 
     return await measure_us(look) / MESSAGES
 
--- a/features/serving/steps/kept_view_steps.py
+++ b/features/serving/steps/kept_view_steps.py
@@ -79,9 +79,9 @@
     context.hub = hub_of(daemons=2, engines=2)
 
     async def look():
-        context.keeper = LeaseController(context.hub, None)
-        context.keeper._started_s = -100.0
-        assert not context.keeper._due()
+        context.controller = LeaseController(context.hub, None)
+        context.controller._started_s = -100.0
+        assert not context.controller._due()
 
     anyio.run(look)
 
@@ -101,7 +101,7 @@
 def finds(context, engines):
     async def look():
         # Long enough ago that each daemon's turn has come.
-        return [each.name for each in context.keeper._due()]
+        return [each.name for each in context.controller._due()]
 
     found = anyio.run(look)
     assert found == ([] if engines == "none" else [engines]), found
@@ -217,7 +217,9 @@
             None,
             None,
         )
-        owner.keeper.apply_report(EngineReport(0, ("m",), {}, {}), anyio.current_time())
+        owner.controller.apply_report(
+            EngineReport(0, ("m",), {}, {}), anyio.current_time()
+        )
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(owner._work_on)
             await anyio.sleep(0.02)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/engine_owner.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/engine_owner.py
@@ -108,15 +108,15 @@
         self._predecessors: set[str] = set()
         self._reported_s = float("-inf")
         self._askers: set[str] = set()
-        self.keeper = EngineController(
+        self.controller = EngineController(
             limits,
             {model: held.used_s for model, held in endpoint.held.items()},
             endpoint.recent,
             hub.load_times,
         )
-        self._speeds = SpeedTracker(hub, endpoint, self.keeper)
-        self._updates = EngineUpdates(endpoint.start, record.number, self.keeper)
-        long_prompts, speed = self.keeper.long_prompts, self.keeper.speed
+        self._speeds = SpeedTracker(hub, endpoint, self.controller)
+        self._updates = EngineUpdates(endpoint.start, record.number, self.controller)
+        long_prompts, speed = self.controller.long_prompts, self.controller.speed
         self.turns = TurnScheduler(
             hub, endpoint, record.number, long_prompts, send, speed
         )
@@ -132,11 +132,11 @@
         self._askers.add(daemon)
         self._updates.add_waiter(daemon, model)
         small = self._hub.cluster.is_small_pool
-        if self.keeper.holds(model, version) and not small:
+        if self.controller.holds(model, version) and not small:
             # It has not heard of it yet, and no order will tell it. In a small pool
             # each change is told to all at once.
             self._updates.request_snapshot(daemon)
-        self.keeper.request_adapter(model, version, anyio.current_time())
+        self.controller.request_adapter(model, version, anyio.current_time())
         self._work.set()
 
     def record_calls(self, daemon: str, message: CallsReport) -> None:
@@ -152,13 +152,13 @@
             self.turns.sent(tokens)
         self.turns.record_pause(message.pause_s)
         self._speeds.take(daemon, message, now_s)
-        self.keeper.record_calls(daemon, found, message.unread_tokens, now_s)
+        self.controller.record_calls(daemon, found, message.unread_tokens, now_s)
         self._updates.mark_calls_changed()
         self._note_calls()
 
     def _note_calls(self) -> None:
         """Have other calls looked at; at once where an order may depend on them."""
-        if self.keeper.wants:
+        if self.controller.wants:
             self._work.set()
         else:
             small = self._hub.cluster.is_small_pool
@@ -166,13 +166,13 @@
 
     def forget_daemon(self, daemon: str) -> None:
         """Drop the calls of a daemon that is gone."""
-        self.keeper.forget_daemon(daemon)
+        self.controller.forget_daemon(daemon)
         self._updates.mark_calls_changed()
         self._work.set()
 
     def missed(self, model: ModelRef) -> None:
         """Take that the engine does not hold what it should."""
-        self.keeper.missed(model, anyio.current_time())
+        self.controller.missed(model, anyio.current_time())
         self._updates.mark_adapters_changed()
         self._work.set()
 
@@ -237,9 +237,9 @@
         """Return when to look again at what is due by time alone, in seconds."""
         small = self._hub.cluster.is_small_pool
         pause_s = WORK_S if small else IDLE_UPDATE_INTERVAL_S
-        if self.keeper.needs_report:
+        if self.controller.needs_report:
             pause_s = REPORT_PAUSE_S
-        elif self.keeper.wants:
+        elif self.controller.wants:
             pause_s = LOAD_UPDATE_INTERVAL_S if self._updates.has_changes else 0.05
         if self._updates.has_changes:
             pause_s = min(pause_s, self._updates.due_s(small) + TIMER_S - now_s)
@@ -251,21 +251,21 @@
         if self._hub.paths.is_cut(self.endpoint.record.address):
             return
         now_s = anyio.current_time()
-        self.keeper.forget_silent(now_s)
-        if self.keeper.needs_report and now_s - self._reported_s >= REPORT_PAUSE_S:
+        self.controller.forget_silent(now_s)
+        if self.controller.needs_report and now_s - self._reported_s >= REPORT_PAUSE_S:
             self._reported_s = now_s
             await self._ask_report()
             now_s = anyio.current_time()
-        while self.keeper.next_order(now_s) is not None:
+        while self.controller.next_order(now_s) is not None:
             if not await self._permits.take(self.endpoint, is_order=True):
                 break
             # What is due may have changed while the permit was awaited.
-            order = self.keeper.next_order(anyio.current_time())
+            order = self.controller.next_order(anyio.current_time())
             if order is None or not self._hub.lease.may_order(suspended_clock_s()):
                 break
             await self._order(order)
             now_s = anyio.current_time()
-        stuck = self.keeper.describe_stuck_requests(anyio.current_time())
+        stuck = self.controller.describe_stuck_requests(anyio.current_time())
         if stuck is not None:
             self._hub.log.info("engine.stuck", engine=self.endpoint.name, **stuck)
 
@@ -290,7 +290,7 @@
             return
         if self._is_of_another_start(report):
             return
-        self.keeper.apply_report(report, anyio.current_time())
+        self.controller.apply_report(report, anyio.current_time())
         self._updates.mark_adapters_changed()
 
     def _is_of_another_start(self, report: EngineReport) -> bool:
@@ -341,7 +341,7 @@
         if order.kind is OrderKind.LOAD:
             # Only the time of a load depends on them.
             self._count_others()
-        self.keeper.answered(order, answer, anyio.current_time())
+        self.controller.answered(order, answer, anyio.current_time())
         self._updates.mark_adapters_changed()
         if order.kind is OrderKind.LOAD and answer is not OrderAnswer.UNKNOWN:
             self._updates.record_load_ordered(order.model)
@@ -362,8 +362,8 @@
         now_s = anyio.current_time()
         fleet = self._hub.cluster.fleet
         engines = fleet.of_service(self.endpoint.record.service, now_s)
-        self.keeper.engines = len(engines)
-        self.keeper.loading_elsewhere = sum(
+        self.controller.engines = len(engines)
+        self.controller.loading_elsewhere = sum(
             each.coming(now_s) for each in engines if each is not self.endpoint
         )
 
--- a/packages/daemon/src/knapweedbridge_daemon/serving/speed_tracker.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/speed_tracker.py
@@ -20,19 +20,21 @@
         What is known of the service's engines; log and measures.
     endpoint : Endpoint
         The engine. What its owner before published is where its speed begins.
-    keeper : EngineController
+    controller : EngineController
         Holds the speed for those that tell of it.
     """
 
-    def __init__(self, hub: Hub, endpoint: Endpoint, keeper: EngineController) -> None:
+    def __init__(
+        self, hub: Hub, endpoint: Endpoint, controller: EngineController
+    ) -> None:
         self._hub = hub
         self._endpoint = endpoint
-        self._speed = keeper.speed
+        self._speed = controller.speed
         self._learns = hub.cluster.fleet.speeds.enabled
         if self._learns and endpoint.published_speed:
             self._speed.set_prior(endpoint.published_speed)
         service = endpoint.record.service
-        self._reports = SpeedReports(hub.rates, service, keeper.speed)
+        self._reports = SpeedReports(hub.rates, service, controller.speed)
         self._logged = endpoint.published_speed or 1.0
         self._looked_s = float("-inf")
         self._in_spell = False
