--- a/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
@@ -67,7 +67,7 @@
     def __init__(self, hub: Hub, tunnels: int = 0) -> None:
         self._hub = hub
         self.running = RunningCalls(hub, self.send)
-        self.turns = Turns(hub, self.send, self.running.note_sent)
+        self.turns = Turns(hub, self.send, self.running.record_prompt_sent)
         self.relaying = UpdateRelay(hub, self.send)
         self.permits = Permits(hub, self.send, self.relaying)
         self.plain = PlainRouter(hub, self.send)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/running_calls.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/running_calls.py
@@ -71,7 +71,7 @@
             self._calls[endpoint.start][str(model)] += 1
             self.tell(endpoint.start)
 
-    def note_sent(self, start: EndpointStart, tokens: int) -> None:
+    def record_prompt_sent(self, start: EndpointStart, tokens: int) -> None:
         """Take that a prompt is sent without a turn: its owner paces by all of them."""
         self._sent_tokens[start].append(tokens)
         self.tell(start)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/turns.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/turns.py
@@ -39,14 +39,17 @@
         Beliefs.
     send : callable
         Sends a message to a daemon, this one too.
-    note_sent : callable
+    record_prompt_sent : callable
         Has the engine's owner told of a prompt that is sent without a turn.
     """
 
     def __init__(
-        self, hub: Hub, send: Send, note_sent: Callable[[EndpointStart, int], None]
+        self,
+        hub: Hub,
+        send: Send,
+        record_prompt_sent: Callable[[EndpointStart, int], None],
     ) -> None:
-        self._note_sent = note_sent
+        self._note_sent = record_prompt_sent
         self._hub = hub
         self._send = send
         self._tickets = itertools.count(1)
