--- a/features/accounts/steps/keeper_steps.py
+++ b/features/accounts/steps/keeper_steps.py
@@ -84,7 +84,7 @@
     """Return the daemon that keeps an account's only part."""
     one = Peer(RECORDS[0], {}, account)
     one.hear()
-    return one.shares.parts.keepers(account.name)[0]
+    return one.shares.parts.coordinators(account.name)[0]
 
 
 async def first_answer(account, state):
--- a/features/prompt_parts/steps/ledger_steps.py
+++ b/features/prompt_parts/steps/ledger_steps.py
@@ -231,7 +231,7 @@
         names = [f"host-{number}" for number in range(hosts)]
         self.is_small_pool = is_small
         self.daemons = dict.fromkeys(names)
-        self.keepers = {f"hall-{n}": names[n::3] for n in range(3)}
+        self.coordinators = {f"hall-{n}": names[n::3] for n in range(3)}
         self.sent = []
 
     async def send(self, daemon, message):
@@ -274,5 +274,7 @@
     for daemon, message in pool.sent:
         for _, *parts in message.calls:
             marks = [refusal_key((part,)) for part in parts]
-            kept = any(daemon in refusal_publishers(m, pool.keepers) for m in marks)
+            kept = any(
+                daemon in refusal_publishers(m, pool.coordinators) for m in marks
+            )
             assert pool.is_small_pool or kept, (daemon, message)
--- a/packages/core/src/knapweedbridge_core/serving/__init__.py
+++ b/packages/core/src/knapweedbridge_core/serving/__init__.py
@@ -114,7 +114,7 @@
     QuotaGrant,
     QuotaPart,
     QuotaTolerance,
-    keepers,
+    coordinators,
     split,
 )
 from knapweedbridge_core.serving.rejection_budget import RejectionBudget
@@ -235,7 +235,7 @@
     "has_spare",
     "subscribers",
     "is_small",
-    "keepers",
+    "coordinators",
     "loss_id",
     "may_claim",
     "may_retry",
--- a/packages/core/src/knapweedbridge_core/serving/cluster_state.py
+++ b/packages/core/src/knapweedbridge_core/serving/cluster_state.py
@@ -125,7 +125,7 @@
         return quota_coordinators(self._rank())
 
     @property
-    def keepers(self) -> dict[str, list[str]]:
+    def coordinators(self) -> dict[str, list[str]]:
         """The daemons that may keep state of calls for others, by data centre."""
         return self.ranks if self.is_small_pool else self.quota_coordinators
 
--- a/packages/core/src/knapweedbridge_core/serving/quota_balance.py
+++ b/packages/core/src/knapweedbridge_core/serving/quota_balance.py
@@ -18,7 +18,7 @@
 
 
 def nearest_first(
-    asker: str, data_centre: str, keepers: list[str], places: dict[str, str]
+    asker: str, data_centre: str, coordinators: list[str], places: dict[str, str]
 ) -> list[str]:
     """Order the keepers of an account for one daemon, nearest first.
 
@@ -31,7 +31,7 @@
         The data centre of each daemon.
     """
     return sorted(
-        keepers,
+        coordinators,
         key=lambda name: (places.get(name) == data_centre, score(asker, name)),
         reverse=True,
     )
@@ -109,19 +109,19 @@
         self._skipped_until_s[keeper] = now_s + SILENT_KEEPER_S
         self._silent_keepers.add(keeper)
 
-    def next_coordinator(self, keepers: list[str], now_s: float) -> str | None:
+    def next_coordinator(self, coordinators: list[str], now_s: float) -> str | None:
         """Return the keeper to ask next, or None while none has units to grant."""
         self._skipped_until_s = {
             name: until_s
             for name, until_s in self._skipped_until_s.items()
-            if until_s > now_s and name in keepers
+            if until_s > now_s and name in coordinators
         }
-        able = (name for name in keepers if name not in self._skipped_until_s)
+        able = (name for name in coordinators if name not in self._skipped_until_s)
         return next(able, None)
 
-    def has_silent_coordinator(self, keepers: list[str]) -> bool:
+    def has_silent_coordinator(self, coordinators: list[str]) -> bool:
         """Return whether a keeper that may have units does not reply."""
-        return not self._silent_keepers.isdisjoint(keepers)
+        return not self._silent_keepers.isdisjoint(coordinators)
 
     def wait_s(self, now_s: float) -> float:
         """Return the seconds until a keeper may have units to grant again."""
--- a/packages/core/src/knapweedbridge_core/serving/quotas.py
+++ b/packages/core/src/knapweedbridge_core/serving/quotas.py
@@ -107,7 +107,9 @@
     return QuotaPart(parts, flow_per_s / parts, burst - overdraft, overdraft)
 
 
-def keepers(account: str, parts: int, candidates: dict[str, list[str]]) -> list[str]:
+def coordinators(
+    account: str, parts: int, candidates: dict[str, list[str]]
+) -> list[str]:
     """Return the daemons that keep the parts of an account's quota.
 
     They are spread over the data centres, so that some survive the loss of one.
--- a/packages/daemon/src/knapweedbridge_daemon/serving/account_quotas.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/account_quotas.py
@@ -104,7 +104,7 @@
 
     def _refusal(self, account: str, purse: Purse, units: int) -> Refusal:
         has_silent_coordinator = purse.held.has_silent_coordinator(
-            self.parts.keepers(account)
+            self.parts.coordinators(account)
         )
         wait_s = purse.held.wait_s(anyio.current_time())
         self._hub.metrics.count(
@@ -129,7 +129,7 @@
                 return
             purse.held.unanswered(purse.asked, now_s)
             self._hub.metrics.count("quota", "unanswered")
-        able = self.parts.keepers(account)
+        able = self.parts.coordinators(account)
         keeper = purse.held.next_coordinator(able, now_s)
         purse.asked = keeper or ""
         if keeper is None:
--- a/packages/daemon/src/knapweedbridge_daemon/serving/blame_notifier.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/blame_notifier.py
@@ -46,9 +46,9 @@
         self._hub = hub
         self._send = send
 
-    def keepers(self, mark: str) -> list[str]:
+    def coordinators(self, mark: str) -> list[str]:
         """Return the hosts that publish a refusal, in the order in which they do."""
-        return refusal_publishers(mark, self._hub.cluster.keepers)
+        return refusal_publishers(mark, self._hub.cluster.coordinators)
 
     async def notify_losses(
         self, found: Mapping[str, LossEvidence], cause: str
@@ -114,7 +114,7 @@
         found: dict[str, list[str]] = defaultdict(list)
         for mark in marks:
             small = cluster.is_small_pool
-            for name in cluster.daemons if small else self.keepers(mark):
+            for name in cluster.daemons if small else self.coordinators(mark):
                 found[name].append(mark)
         found.pop(own, None)
         return found
--- a/packages/daemon/src/knapweedbridge_daemon/serving/crash_watch.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/crash_watch.py
@@ -102,8 +102,8 @@
 
     def _turn_of(self, mark: str) -> int:
         """Return this host's place among those that publish a refusal, the first: 0."""
-        keepers, own = self._notifier.keepers(mark), self._hub.identity.name
-        return keepers.index(own) if own in keepers else len(keepers)
+        coordinators, own = self._notifier.coordinators(mark), self._hub.identity.name
+        return coordinators.index(own) if own in coordinators else len(coordinators)
 
     def attempt_ended(
         self,
--- a/packages/daemon/src/knapweedbridge_daemon/serving/quota_parts.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/quota_parts.py
@@ -9,7 +9,7 @@
     QuotaBucket,
     QuotaGrant,
     QuotaPart,
-    keepers,
+    coordinators,
     nearest_first,
     split,
 )
@@ -26,12 +26,12 @@
     ----------
     part : QuotaPart
         One of its equal parts.
-    keepers : list of str
+    coordinators : list of str
         Who keeps the parts, the one that this daemon asks first first.
     """
 
     part: QuotaPart
-    keepers: list[str]
+    coordinators: list[str]
 
 
 class QuotaParts:
@@ -66,7 +66,7 @@
         kept = [
             account
             for account, found in self._splits.items()
-            if self._hub.identity.name in found.keepers
+            if self._hub.identity.name in found.coordinators
         ]
         now_s = anyio.current_time()
         for account in kept:
@@ -81,16 +81,16 @@
         cluster, identity = self._hub.cluster, self._hub.identity
         candidates = cluster.quota_coordinators
         part = split(quota, self._hub.tolerance, sum(map(len, candidates.values())))
-        found = keepers(account, part.parts, candidates)
+        found = coordinators(account, part.parts, candidates)
         places = {name: cluster.daemons[name].data_centre for name in found}
         ordered = nearest_first(identity.name, identity.data_centre, found, places)
         return SplitQuota(part, ordered)
 
-    def keepers(self, account: str) -> list[str]:
+    def coordinators(self, account: str) -> list[str]:
         """Name the keepers of an account's quota, the one to ask first first."""
         self.refresh()
         found = self._splits.get(account)
-        return found.keepers if found else []
+        return found.coordinators if found else []
 
     def give(self, message: QuotaRequest) -> QuotaGrant:
         """Give units of the part that is kept here, if one is."""
--- a/packages/daemon/src/knapweedbridge_daemon/serving/refusal_records.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/refusal_records.py
@@ -72,9 +72,9 @@
 
     def _turn_s(self, mark: str) -> float | None:
         """Return how long this host leaves a write to others; None: it writes none."""
-        keepers = refusal_publishers(mark, self._hub.cluster.keepers)
+        coordinators = refusal_publishers(mark, self._hub.cluster.coordinators)
         own = self._hub.identity.name
-        return STEP_S * keepers.index(own) if own in keepers else None
+        return STEP_S * coordinators.index(own) if own in coordinators else None
 
     async def _write(self, mark: str, for_s: float) -> None:
         store, key = self._hub.dialects.store, self._key(mark)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/stream_resumer.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/stream_resumer.py
@@ -147,7 +147,7 @@
                 if name == self._hub.identity.name
                 or understands(cluster.protocol_of(name), PROBE)
             ]
-            for data_centre, names in cluster.keepers.items()
+            for data_centre, names in cluster.coordinators.items()
         }
 
     async def _publish(self, streams: list[tuple[str, StreamOrigin]]) -> None:
@@ -303,8 +303,8 @@
         self, call: Call, question: OriginQuery, asked: OriginRequest
     ) -> None:
         """Ask the keepers of a call's stream that have not answered yet."""
-        keepers = origin_keepers(call.details.stream_id, self._candidates())
-        others = [name for name in keepers if name != self._hub.identity.name]
+        coordinators = origin_keepers(call.details.stream_id, self._candidates())
+        others = [name for name in coordinators if name != self._hub.identity.name]
         for name in question.ask(others):
             await self._send(name, asked)
 
--- a/packages/standins/src/knapweedbridge_standins/quota_pool/ways.py
+++ b/packages/standins/src/knapweedbridge_standins/quota_pool/ways.py
@@ -10,7 +10,7 @@
     QuotaBucket,
     QuotaPart,
     QuotaTolerance,
-    keepers,
+    coordinators,
     nearest_first,
     ranked,
     split,
@@ -78,7 +78,7 @@
 
     def _ask(self, host: Host, purse: QuotaBalance, units: int, now_s: float) -> bool:
         part = self._part()
-        names = keepers(self.account, part.parts, self._candidates)
+        names = coordinators(self.account, part.parts, self._candidates)
         names = nearest_first(host.name, host.data_centre, names, self._places)
         name = purse.next_coordinator(names, now_s)
         if name is None:
