--- a/packages/core/src/knapweedbridge_core/leaving.py
+++ b/packages/core/src/knapweedbridge_core/leaving.py
@@ -65,7 +65,7 @@
         del self._signs[endpoint]
         return True
 
-    def lapse(self, now_s: float) -> None:
+    def expire(self, now_s: float) -> None:
         """Drop the signs that nobody renewed."""
         for endpoint, held in list(self._signs.items()):
             if now_s - held.seen_s >= LAPSE_S[held.sign]:
--- a/packages/core/src/knapweedbridge_core/leaving_side.py
+++ b/packages/core/src/knapweedbridge_core/leaving_side.py
@@ -37,7 +37,7 @@
         }
 
     def _tick(self, event: events.Tick) -> None:
-        self._context.leaving.lapse(self._context.now_s)
+        self._context.leaving.expire(self._context.now_s)
         for entry in self._probed_here():
             last_s = self._asked_s.get(entry.name, -PROBE_S)
             if self._context.now_s - last_s >= PROBE_S:
--- a/packages/core/src/knapweedbridge_core/serving/crashes.py
+++ b/packages/core/src/knapweedbridge_core/serving/crashes.py
@@ -279,7 +279,7 @@
         }
 
     def _expire(self, now_s: float) -> None:
-        self._blame.lapse(now_s)
+        self._blame.expire(now_s)
         if len(self._senders) > len(self._blame):
             known = self._senders.items()
             self._senders = {each: s for each, s in known if self._blame.knows(each)}
--- a/packages/core/src/knapweedbridge_core/suspect_side.py
+++ b/packages/core/src/knapweedbridge_core/suspect_side.py
@@ -55,7 +55,7 @@
         }
 
     def _tick(self, event: events.Tick) -> None:
-        self.suspects.lapse(self._context.now_s)
+        self.suspects.expire(self._context.now_s)
 
     def _attempt_judged(self, event: events.AttemptResult) -> None:
         outcome = event.outcome
--- a/packages/core/src/knapweedbridge_core/suspects.py
+++ b/packages/core/src/knapweedbridge_core/suspects.py
@@ -189,7 +189,7 @@
         suspect = self._table.get(fingerprint)
         return suspect.losses.get(loss_id) if suspect else None
 
-    def lapse(self, now_s: float) -> None:
+    def expire(self, now_s: float) -> None:
         """Forget what is older than its lapse; what was refused is on probation."""
         for fingerprint, suspect in list(self._table.items()):
             if now_s - suspect.last_s < self._lapse_of_s(suspect):
