--- a/packages/daemon/src/knapweedbridge_daemon/serving/placing.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/placing.py
@@ -35,7 +35,7 @@
 BUSY_AFTER_S = 0.4
 """When a refused caller should come back: a load takes 0.25 s."""
 
-PLACE_PATIENCE = 2.0
+MAX_WAIT_OBJECTIVES = 2.0
 """How long a call waits for an engine, in objectives: its answer is late by then, and
 callers leave a silent stream after some seconds."""
 
@@ -213,7 +213,7 @@
         """Return until when a call waits for an engine, on the daemon's clock."""
         if call.progress.begun:
             return call.deadline_s - 0.05
-        wait_s = max(0.5, PLACE_PATIENCE * call.route.objective_s)
+        wait_s = max(0.5, MAX_WAIT_OBJECTIVES * call.route.objective_s)
         return min(call.request.received_s + wait_s, call.deadline_s - 0.05)
 
     def _choose(
--- a/packages/standins/src/knapweedbridge_standins/serving_load/daemon.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_load/daemon.py
@@ -24,7 +24,7 @@
 from knapweedbridge_daemon.serving.engine_observations import EngineObservations
 from knapweedbridge_daemon.serving.placing import (
     LOOK_S,
-    PLACE_PATIENCE,
+    MAX_WAIT_OBJECTIVES,
     UNKNOWN_AFTER_S,
     WANT_AGAIN_S,
 )
@@ -118,7 +118,7 @@
             return
         waited_s = now_s - call.began_s
         if isinstance(choice, TooLate) or waited_s > max(
-            0.5, PLACE_PATIENCE * call.mix.objective_s
+            0.5, MAX_WAIT_OBJECTIVES * call.mix.objective_s
         ):
             over_s = choice.over_s if isinstance(choice, TooLate) else 0.0
             self.pool.refused(call, over_s)
--- a/packages/standins/src/knapweedbridge_standins/serving_load/overload_pool.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_load/overload_pool.py
@@ -19,7 +19,11 @@
     WaitFor,
 )
 from knapweedbridge_core.serving.placement_choices import Choice
-from knapweedbridge_daemon.serving.placing import LOOK_S, PLACE_PATIENCE, WANT_AGAIN_S
+from knapweedbridge_daemon.serving.placing import (
+    LOOK_S,
+    MAX_WAIT_OBJECTIVES,
+    WANT_AGAIN_S,
+)
 from knapweedbridge_standins.serving_load.attempt import ModelledAttempt
 from knapweedbridge_standins.serving_load.call import WAY_S
 from knapweedbridge_standins.serving_load.daemon import ModelledDaemon
@@ -205,7 +209,7 @@
             self._note_sent(call, now_s)
             self._send(call, choice.endpoint.name)
             return
-        patience_s = max(0.5, PLACE_PATIENCE * call.mix.objective_s)
+        patience_s = max(0.5, MAX_WAIT_OBJECTIVES * call.mix.objective_s)
         if call.rank is None and now_s - call.began_s > patience_s:
             self._refuse(call, 0.4)
             return
