--- a/bench/peer_messages.py
+++ b/bench/peer_messages.py
@@ -48,7 +48,7 @@
 from knapweedbridge_core.serving.messages import (
     CallsReport,
     EngineChanged,
-    EngineTold,
+    EngineSnapshot,
     StoreUpdate,
 )
 from knapweedbridge_daemon.peer_sockets import PeerListener
@@ -136,7 +136,7 @@
     """Tell all of each engine; streams have paused on a third of them."""
     for n in range(ENGINES):
         held = [["m", f"b{k}", 1, 0.0, 0, 0.0] for k in range(PLACES)]
-        told = EngineTold(
+        told = EngineSnapshot(
             *(f"e{n}", 7, 0, held, 0, 0, 0, 0, ["m"]),
             started_ms=1,
             pace_scale=float(n % 3 == 1),
--- a/features/serving/steps/decision_steps.py
+++ b/features/serving/steps/decision_steps.py
@@ -27,7 +27,7 @@
 )
 from knapweedbridge_core.serving.endpoint import HeldAdapter
 from knapweedbridge_core.serving.load_times import LoadTimes
-from knapweedbridge_core.serving.messages import EngineTold
+from knapweedbridge_core.serving.messages import EngineSnapshot
 from knapweedbridge_standins.serving_histories import HISTORIES
 
 BOUND_S = 5.0
@@ -146,7 +146,7 @@
     context.fleet = Fleet()
     context.fleet.listed(record("e"), NOW_S - ago)
     held = [["m", "told", 1, 0.0, 0, 0.0]]
-    told = EngineTold("e", 7, 1, held, 0, 0, 3, 0, ["m"])
+    told = EngineSnapshot("e", 7, 1, held, 0, 0, 3, 0, ["m"])
     assert context.fleet.apply_snapshot(told, NOW_S - ago)
 
 
--- a/features/serving/steps/kept_view_steps.py
+++ b/features/serving/steps/kept_view_steps.py
@@ -29,7 +29,7 @@
     OwnerNamed,
 )
 from knapweedbridge_core.serving.engine_calls import CALLS_MAX_AGE_S, EngineCalls
-from knapweedbridge_core.serving.messages import CallsReport, EngineTold
+from knapweedbridge_core.serving.messages import CallsReport, EngineSnapshot
 from knapweedbridge_daemon.serving.engine_owner import EngineOwner
 from knapweedbridge_daemon.serving.lease_controller import LeaseController
 from knapweedbridge_daemon.serving.metrics_registry import MetricsRegistry
@@ -108,7 +108,7 @@
 
 
 def tell(context, name, scale):
-    told = EngineTold(
+    told = EngineSnapshot(
         name, 7, 0, [], 0, 0, 0, 0, ["m"], started_ms=1, pace_scale=float(scale)
     )
     assert context.fleet.apply_snapshot(told, 0.0)
--- a/features/serving/steps/relay_steps.py
+++ b/features/serving/steps/relay_steps.py
@@ -17,7 +17,7 @@
 from knapweedbridge_core.serving.endpoint import ReportedLoad
 from knapweedbridge_core.serving.messages import (
     EngineChanged,
-    EngineTold,
+    EngineSnapshot,
     RelayRequest,
     StoreUpdate,
 )
@@ -39,7 +39,7 @@
 
 
 def told(order, number=7, **fields):
-    return EngineTold(
+    return EngineSnapshot(
         "e1", number, order, [["m", "a1", 1, 0.0, 0, 0.0]], 5, 0, 3, 0, ["m"], **fields
     )
 
@@ -106,7 +106,9 @@
     now_s = anyio.current_time()
     fleet = context.cluster.fleet
     take = (
-        fleet.apply_snapshot if isinstance(message, EngineTold) else fleet.apply_update
+        fleet.apply_snapshot
+        if isinstance(message, EngineSnapshot)
+        else fleet.apply_update
     )
     assert take(message, now_s)
     context.relaying.record_engine_update(message)
@@ -191,7 +193,7 @@
     (message,) = messages
     rows = unpack_engines(message)
     if what == "all of e1":
-        assert [type(row) for row in rows] == [EngineTold], rows
+        assert [type(row) for row in rows] == [EngineSnapshot], rows
         assert rows[0].held and rows[0].of_all, rows
     elif what == "the change":
         assert rows == [changed(2)], rows
@@ -298,7 +300,7 @@
 
 @when("a relay tells that it runs {calls:d} calls in all")
 def relay_tells_calls(context, calls):
-    message = EngineTold("e1", 7, 1, [], calls, 0, 3, 0, ["m"], of_all=True)
+    message = EngineSnapshot("e1", 7, 1, [], calls, 0, 3, 0, ["m"], of_all=True)
     context.fleet.apply_snapshot(message, NOW_S)
 
 
--- a/features/serving/steps/restart_steps.py
+++ b/features/serving/steps/restart_steps.py
@@ -26,7 +26,7 @@
     EndpointUnreadable,
     OwnerNamed,
 )
-from knapweedbridge_core.serving.messages import EngineTold
+from knapweedbridge_core.serving.messages import EngineSnapshot
 from knapweedbridge_daemon.serving.dialects import DaemonKeys, DialectError
 from knapweedbridge_daemon.serving.metrics_registry import MetricsRegistry
 from knapweedbridge_daemon.serving.own_records import read_own
@@ -59,7 +59,7 @@
 
 
 def telling(started_ms, order=1):
-    return EngineTold(
+    return EngineSnapshot(
         "e1", 7, order, [["m", "x", 1, 0.0, 0, 0.0]], 3, 0, 5, 0, ["m"], 0.0, started_ms
     )
 
@@ -91,7 +91,7 @@
 
 @when("its owner tells of it, started at {started:d}")
 def owner_tells(context, started):
-    told = EngineTold("e1", 7, 1, [], 0, 0, 5, 0, ["m"], 0.0, started)
+    told = EngineSnapshot("e1", 7, 1, [], 0, 0, 5, 0, ["m"], 0.0, started)
     context.fleet.apply_snapshot(told, NOW_S)
 
 
--- a/features/speeds/steps/using_steps.py
+++ b/features/speeds/steps/using_steps.py
@@ -10,7 +10,7 @@
     ModelRef,
     PlacementRequest,
 )
-from knapweedbridge_core.serving.messages import EngineChanged, EngineTold
+from knapweedbridge_core.serving.messages import EngineChanged, EngineSnapshot
 from knapweedbridge_daemon.serving.settings import read_serving_settings
 
 NOW_S = 100.0
@@ -42,7 +42,7 @@
     for order in (1, 2):
         # The second round recomputes the median from the speeds of the first.
         for engine, speed in zip(context.engines, speeds, strict=True):
-            told = EngineTold(
+            told = EngineSnapshot(
                 engine.name, 1, order, [], 3, 0, 8, 0, ["m"], started_ms=1, speed=speed
             )
             context.fleet.apply_snapshot(told, NOW_S + order)
--- a/packages/core/src/knapweedbridge_core/serving/endpoint.py
+++ b/packages/core/src/knapweedbridge_core/serving/endpoint.py
@@ -6,7 +6,7 @@
 
 from knapweedbridge_core.serving.backpressure import Backpressure
 from knapweedbridge_core.serving.endpoint_records import EndpointRecord, EndpointStart
-from knapweedbridge_core.serving.messages import EngineChanged, EngineTold
+from knapweedbridge_core.serving.messages import EngineChanged, EngineSnapshot
 from knapweedbridge_core.serving.model_ref import ModelRef
 from knapweedbridge_core.serving.recent_adapters import RecentAdapters
 
@@ -235,7 +235,7 @@
         self.recent.discard(model)
         self.loading_until_s = max(self.loading_until_s, ready_s)
 
-    def is_new(self, message: EngineTold) -> bool:
+    def is_new(self, message: EngineSnapshot) -> bool:
         """Return whether an owner's snapshot is newer than the last update applied."""
         told = self.update_number, self.update_order
         # A snapshot of the same order was requested, and made after the change.
@@ -246,7 +246,9 @@
         following = self.update_number, self.update_order + 1
         return (message.number, message.order) == following
 
-    def update_load(self, message: EngineTold | EngineChanged, now_s: float) -> None:
+    def update_load(
+        self, message: EngineSnapshot | EngineChanged, now_s: float
+    ) -> None:
         """Apply the other daemons' calls and the other fields of every update."""
         self.update_number, self.update_order = message.number, message.order
         own = self._load_reported_by(now_s) if message.of_all else NO_REPORTED_LOAD
--- a/packages/core/src/knapweedbridge_core/serving/engine_updates.py
+++ b/packages/core/src/knapweedbridge_core/serving/engine_updates.py
@@ -5,7 +5,7 @@
 
 from knapweedbridge_core.serving.endpoint_records import EndpointStart
 from knapweedbridge_core.serving.engine_controller import EngineController
-from knapweedbridge_core.serving.messages import EngineChanged, EngineTold
+from knapweedbridge_core.serving.messages import EngineChanged, EngineSnapshot
 from knapweedbridge_core.serving.model_ref import ModelRef
 
 LOAD_UPDATE_INTERVAL_S = 0.02
@@ -31,7 +31,7 @@
     """An update and the daemon that gets it."""
 
     daemon: str
-    message: EngineTold | EngineChanged
+    message: EngineSnapshot | EngineChanged
 
 
 class EngineUpdates:
@@ -155,7 +155,7 @@
         return self._addressed(daemons, self._snapshot(now_s)) if daemons else []
 
     def _addressed(
-        self, daemons: set[str], message: EngineTold | EngineChanged
+        self, daemons: set[str], message: EngineSnapshot | EngineChanged
     ) -> list[AddressedUpdate]:
         """Address a message to each daemon, with the load of all others.
 
@@ -189,7 +189,7 @@
             if not place.leaving
         }
 
-    def _snapshot(self, now_s: float) -> EngineTold:
+    def _snapshot(self, now_s: float) -> EngineSnapshot:
         keeper = self._keeper
         held = [
             [
@@ -202,7 +202,7 @@
             ]
             for model, (version, ready_s) in self._rows().items()
         ]
-        return EngineTold(
+        return EngineSnapshot(
             self._endpoint,
             self._number,
             self._order,
--- a/packages/core/src/knapweedbridge_core/serving/fleet.py
+++ b/packages/core/src/knapweedbridge_core/serving/fleet.py
@@ -5,7 +5,7 @@
 
 from knapweedbridge_core.serving.endpoint import Endpoint, HeldAdapter
 from knapweedbridge_core.serving.endpoint_records import EndpointRecord, EndpointStart
-from knapweedbridge_core.serving.messages import EngineChanged, EngineTold
+from knapweedbridge_core.serving.messages import EngineChanged, EngineSnapshot
 from knapweedbridge_core.serving.model_ref import ModelRef
 from knapweedbridge_core.serving.paced_engines import PacedEngines
 from knapweedbridge_core.serving.service_speeds import ServiceSpeeds
@@ -148,7 +148,7 @@
         return True
 
     def _of_start(
-        self, message: EngineTold | EngineChanged, now_s: float
+        self, message: EngineSnapshot | EngineChanged, now_s: float
     ) -> Endpoint | None:
         """Return the endpoint that a message describes; None for an earlier start."""
         known = self.endpoints.get(message.endpoint)
@@ -159,7 +159,7 @@
         endpoint = self.endpoints.get(message.endpoint)
         return endpoint if endpoint and endpoint.start.may_be(start) else None
 
-    def apply_snapshot(self, message: EngineTold, now_s: float) -> Endpoint | None:
+    def apply_snapshot(self, message: EngineSnapshot, now_s: float) -> Endpoint | None:
         """Apply an owner's snapshot of its engine.
 
         Returns
@@ -183,13 +183,13 @@
         return endpoint
 
     def _record_speed(
-        self, endpoint: Endpoint, message: EngineTold | EngineChanged, now_s: float
+        self, endpoint: Endpoint, message: EngineSnapshot | EngineChanged, now_s: float
     ) -> None:
         self.paced.note(endpoint)
         engines = self._by_service[endpoint.record.service].values()
         self.speeds.take(endpoint, message.speed, engines, now_s)
 
-    def build_snapshot(self, endpoint: Endpoint, now_s: float) -> EngineTold:
+    def build_snapshot(self, endpoint: Endpoint, now_s: float) -> EngineSnapshot:
         """Return an owner's state of an engine, for daemons that have missed it."""
         held = [
             [
@@ -202,7 +202,7 @@
             ]
             for model, each in endpoint.held.items()
         ]
-        return EngineTold(
+        return EngineSnapshot(
             endpoint.name,
             endpoint.update_number,
             endpoint.update_order,
--- a/packages/core/src/knapweedbridge_core/serving/messages.py
+++ b/packages/core/src/knapweedbridge_core/serving/messages.py
@@ -97,8 +97,8 @@
     tickets: list[int]
 
 
-@message
-class EngineTold:
+@message(tag="EngineTold")
+class EngineSnapshot:
     """Snapshot of an engine by its owner; replaces all earlier ones.
 
     Parameters
@@ -164,7 +164,7 @@
 
 @message
 class EngineChanged:
-    """Update of the owner's previous message; fields as in `EngineTold`.
+    """Update of the owner's previous message; fields as in `EngineSnapshot`.
 
     Parameters
     ----------
--- a/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
@@ -10,8 +10,8 @@
 from knapweedbridge_core.serving import Endpoint, understands
 from knapweedbridge_core.serving.messages import (
     EngineChanged,
+    EngineSnapshot,
     EngineSnapshotRequest,
-    EngineTold,
     OwnerAck,
     QuotaRequest,
     QuotaResponse,
@@ -85,7 +85,7 @@
     def _make_takers(self) -> dict[type, Callable[[str, Any], Awaitable[None]]]:
         """Return what takes a message, by its class; others are passed over."""
         takers: dict[type, Callable[[str, Any], Awaitable[None]]] = {
-            EngineTold: self._take_of_owner,
+            EngineSnapshot: self._take_of_owner,
             EngineChanged: self._take_of_owner,
             TurnGrant: self._take_turns,
             OwnerAck: self._take_answered,
@@ -162,7 +162,7 @@
         self.turns.given(message)
 
     async def _take_of_owner(
-        self, daemon: str, message: EngineTold | EngineChanged
+        self, daemon: str, message: EngineSnapshot | EngineChanged
     ) -> None:
         """Take what an owner tells this daemon itself of its engine."""
         if isinstance(message, EngineChanged):
@@ -186,7 +186,7 @@
         else:
             await self.relaying.record_relay_request(daemon, message)
 
-    def _take_told(self, message: EngineTold, now_s: float) -> bool:
+    def _take_told(self, message: EngineSnapshot, now_s: float) -> bool:
         """Take all that is told of an engine; False where that is outdated."""
         self._hub.load_times.told(message.cold_s)
         self._hub.load_times.record_trial_success(message.loads_at_once)
@@ -238,7 +238,7 @@
         missed = False
         now_s = anyio.current_time()
         for row in unpack_engines(message):
-            if isinstance(row, EngineTold):
+            if isinstance(row, EngineSnapshot):
                 self._take_told(row, now_s)
             elif not self._take_change(row, now_s):
                 missed = missed or self._hub.cluster.fleet.has_gap_before(row)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/store_update_codec.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/store_update_codec.py
@@ -13,7 +13,11 @@
 import msgpack
 
 from knapweedbridge_core.codec import decode, encode, unpacker
-from knapweedbridge_core.serving.messages import EngineChanged, EngineTold, StoreUpdate
+from knapweedbridge_core.serving.messages import (
+    EngineChanged,
+    EngineSnapshot,
+    StoreUpdate,
+)
 from knapweedbridge_daemon.store import StoreItem
 
 LEVEL = 1
@@ -32,13 +36,13 @@
     return [StoreItem(key, value, revision) for key, value, revision in rows]
 
 
-def pack_engines(rows: Iterable[EngineTold | EngineChanged]) -> bytes:
+def pack_engines(rows: Iterable[EngineSnapshot | EngineChanged]) -> bytes:
     """Encode what owners told of their engines."""
     packed = b"".join(map(encode, rows))
     return zlib.compress(packed, LEVEL) if packed else b""
 
 
-def unpack_engines(message: StoreUpdate) -> list[EngineTold | EngineChanged]:
+def unpack_engines(message: StoreUpdate) -> list[EngineSnapshot | EngineChanged]:
     """Decode what owners told of their engines."""
     if not message.engines:
         return []
