--- a/bench/mutants_serving.py
+++ b/bench/mutants_serving.py
@@ -197,7 +197,7 @@
         [
             (
                 permits_module.Permits,
-                "_keeper",
+                "_coordinator",
                 lambda self, endpoint: self._hub.identity.name,
             )
         ],
--- a/features/limits/steps/pool_steps.py
+++ b/features/limits/steps/pool_steps.py
@@ -105,7 +105,7 @@
             asker = pool.daemons["h3"]
             await hear_limit(asker, 5.0)
             await anyio.sleep(1.0)
-            keeper = asker.link.permits._keeper(endpoint_of(asker))
+            keeper = asker.link.permits._coordinator(endpoint_of(asker))
             others = [each for each in pool.daemons.values() if each.name != keeper]
             pool.wire.cut.add(keeper)
             context.without = await permits(others)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/permits.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/permits.py
@@ -105,7 +105,7 @@
         asked = CapacityRequest(
             endpoint.name, endpoint.record.started_ms, per_s, ticket
         )
-        keeper = self._keeper(endpoint)
+        keeper = self._coordinator(endpoint)
         if keeper and not understands(self._hub.cluster.protocol_of(keeper), asked):
             return True
         return await self._is_permitted(endpoint, ticket, asked)
@@ -124,7 +124,7 @@
         self, endpoint: Endpoint, ticket: int, asked: PermitRequest | CapacityRequest
     ) -> float:
         """Ask for a permit; return 0.0 where it is given, else when to ask again."""
-        keeper = self._keeper(endpoint)
+        keeper = self._coordinator(endpoint)
         if keeper is None:
             return SILENT_S
         question = self._questions[ticket] = Question()
@@ -138,7 +138,7 @@
             self._hub.metrics.count("permits", "unanswered")
         return question.wait_s
 
-    def _keeper(self, endpoint: Endpoint) -> str | None:
+    def _coordinator(self, endpoint: Endpoint) -> str | None:
         candidates = self._hub.cluster.quota_coordinators
         return permit_coordinator(
             endpoint.name, endpoint.record.data_centre, candidates
@@ -153,14 +153,14 @@
 
     async def turned_away(self, endpoint: Endpoint) -> None:
         """Notify a brittle endpoint's keeper that it had no room for a call."""
-        keeper = self._keeper(endpoint)
+        keeper = self._coordinator(endpoint)
         if keeper is not None:
             message = CallRejected(endpoint.name, endpoint.record.started_ms)
             await self._send(keeper, message)
 
     async def report_limit(self, endpoint: Endpoint) -> None:
         """Tell an endpoint's keeper of the limit that an answer has just named."""
-        keeper = self._keeper(endpoint)
+        keeper = self._coordinator(endpoint)
         if keeper is not None:
             await self._send(keeper, LimitReport(*self._limit_of(endpoint)))
 
@@ -175,7 +175,7 @@
         if isinstance(message, LimitUpdate):
             self._take_limit(endpoint, message)
             await self._hand_on(message)
-        elif self._keeper(endpoint) == self._hub.identity.name:
+        elif self._coordinator(endpoint) == self._hub.identity.name:
             await self._take_as_keeper(daemon, endpoint, message)
         elif isinstance(message, PermitRequest | CapacityRequest):
             # The asker will have heard of the new keeper by then.
@@ -274,7 +274,10 @@
         fleet = self._hub.cluster.fleet
         for name in {*self._pacers, *self._rooms}:
             endpoint = fleet.endpoints.get(name)
-            if endpoint is None or self._keeper(endpoint) != self._hub.identity.name:
+            if (
+                endpoint is None
+                or self._coordinator(endpoint) != self._hub.identity.name
+            ):
                 self._pacers.pop(name, None)
                 self._rooms.pop(name, None)
 
