--- a/features/overload/steps/blame_steps.py
+++ b/features/overload/steps/blame_steps.py
@@ -140,7 +140,7 @@
 def many(context, count, fingerprint):
     told(context, "e0", "e1", fingerprint)
     for loss_id in ("a.1", "b.1"):
-        context.suspects.proved(fingerprint, loss_id)
+        context.suspects.confirm(fingerprint, loss_id)
     for place in range(count):
         context.suspects.suspect(f"f{place}", f"a.{place}", "e0", 101.0)
 
--- a/packages/core/src/knapweedbridge_core/serving/crashes.py
+++ b/packages/core/src/knapweedbridge_core/serving/crashes.py
@@ -227,7 +227,7 @@
         digest = request_digest(mark)
         for each in (mark, digest):
             self._blame.suspect(each, loss, loss, now_s)
-            self._blame.proved(each, loss)
+            self._blame.confirm(each, loss)
         losses = self._senders.setdefault(digest, {})
         losses.setdefault(loss, set()).add(mark)
 
--- a/packages/core/src/knapweedbridge_core/suspect_side.py
+++ b/packages/core/src/knapweedbridge_core/suspect_side.py
@@ -138,7 +138,7 @@
 
     def _apply(self, fingerprint: str, loss_id: str, state: LossState) -> None:
         if state is LossState.PROVED:
-            self.suspects.proved(fingerprint, loss_id)
+            self.suspects.confirm(fingerprint, loss_id)
         elif state is LossState.WITHDRAWN:
             self.suspects.withdraw(fingerprint, loss_id)
 
--- a/packages/core/src/knapweedbridge_core/suspects.py
+++ b/packages/core/src/knapweedbridge_core/suspects.py
@@ -73,8 +73,8 @@
 
     def is_refused(self, now_s: float) -> bool:
         """Return whether it may not run; one that was refused before has one loss."""
-        proved = sum(loss.is_proved(now_s) for loss in self.losses.values())
-        return proved >= (1 if self.refusals else LOSSES_REFUSED)
+        confirm = sum(loss.is_proved(now_s) for loss in self.losses.values())
+        return confirm >= (1 if self.refusals else LOSSES_REFUSED)
 
 
 class SuspectTable:
@@ -166,7 +166,7 @@
             for loss in suspect.losses.values()
         )
 
-    def proved(self, fingerprint: str, loss_id: str) -> None:
+    def confirm(self, fingerprint: str, loss_id: str) -> None:
         """Note that the endpoint was lost."""
         loss = self._loss(fingerprint, loss_id)
         if loss is not None:
