--- a/packages/daemon/src/knapweedbridge_daemon/serving/crash_watch.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/crash_watch.py
@@ -66,7 +66,7 @@
     is_closed: bool
 
 
-OfLosses = CallsBlamed | CallsCleared | PartsBlamed | PartsCleared | SuspectsHeld
+LossMessage = CallsBlamed | CallsCleared | PartsBlamed | PartsCleared | SuspectsHeld
 
 
 class CrashWatch:
@@ -303,7 +303,7 @@
         if self._cleared or ledger.to_clear:
             self._hub.losses_changed.tell()
 
-    async def handle(self, daemon: str, message: OfLosses) -> None:
+    async def handle(self, daemon: str, message: LossMessage) -> None:
         """Receive what another daemon knows of losses."""
         now_s, crashes = loop_time_s(), self._hub.crashes
         match message:
--- a/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
@@ -24,7 +24,7 @@
 from knapweedbridge_daemon.peers import Peers
 from knapweedbridge_daemon.serving.account_quotas import AccountQuotas
 from knapweedbridge_daemon.serving.backpressure_recorder import BackpressureRecorder
-from knapweedbridge_daemon.serving.crash_watch import CrashWatch, OfLosses
+from knapweedbridge_daemon.serving.crash_watch import CrashWatch, LossMessage
 from knapweedbridge_daemon.serving.engine_owners import EngineOwners, OwnerMessage
 from knapweedbridge_daemon.serving.forwarding import TunnelForwarder
 from knapweedbridge_daemon.serving.hub import Hub
@@ -91,7 +91,7 @@
             OwnerAck: self._take_answered,
         }
         takers |= dict.fromkeys((QuotaRequest, QuotaResponse), self.shares.handle)
-        takers |= dict.fromkeys(get_args(OfLosses), self.crashes.handle)
+        takers |= dict.fromkeys(get_args(LossMessage), self.crashes.handle)
         of_calls = get_args(PlainMessage) + get_args(PermitMessage)
         takers |= dict.fromkeys(of_calls, self._take_of_calls)
         takers |= dict.fromkeys(get_args(OfOrigins), self.resuming.handle)
