--- a/bench/peer_messages.py
+++ b/bench/peer_messages.py
@@ -47,7 +47,7 @@
 from knapweedbridge_core.serving.deployment import WeightedService
 from knapweedbridge_core.serving.messages import (
     CallsReport,
-    EngineChanged,
+    EngineDelta,
     EngineSnapshot,
     StoreUpdate,
 )
@@ -123,7 +123,7 @@
             changed = k % 9 == 0
             added = [["m", f"a{n % 50}", 1, 0.2]] if changed else []
             removed = [["m", f"a{(n + 42) % 50}"]] if changed else []
-            row = EngineChanged(
+            row = EngineDelta(
                 *(f"e{engine}", 7, orders[engine], added, removed, 5 + n % 5, 900),
                 *(n // 20 % 3, 0, ["m"], 1, 0.3, 4800.0, 1.0, True),
             )
--- a/features/serving/steps/relay_steps.py
+++ b/features/serving/steps/relay_steps.py
@@ -16,7 +16,7 @@
 from knapweedbridge_core.serving.cluster_state import DaemonNamed, EndpointNamed
 from knapweedbridge_core.serving.endpoint import ReportedLoad
 from knapweedbridge_core.serving.messages import (
-    EngineChanged,
+    EngineDelta,
     EngineSnapshot,
     RelayRequest,
     StoreUpdate,
@@ -46,7 +46,7 @@
 
 def changed(order):
     added = [["m", f"a{order}", 1, 0.0]]
-    return EngineChanged("e1", 7, order, added, [], 5, 0, 3, 0, ["m"], of_all=True)
+    return EngineDelta("e1", 7, order, added, [], 5, 0, 3, 0, ["m"], of_all=True)
 
 
 class Log:
--- a/features/speeds/steps/using_steps.py
+++ b/features/speeds/steps/using_steps.py
@@ -10,7 +10,7 @@
     ModelRef,
     PlacementRequest,
 )
-from knapweedbridge_core.serving.messages import EngineChanged, EngineSnapshot
+from knapweedbridge_core.serving.messages import EngineDelta, EngineSnapshot
 from knapweedbridge_daemon.serving.settings import read_serving_settings
 
 NOW_S = 100.0
@@ -85,7 +85,7 @@
 
 @when("its owner publishes it as unknown")
 def published_unknown(context):
-    changed = EngineChanged(context.last, 1, 3, [], [], 0, 0, 8, 0, ["m"], 1)
+    changed = EngineDelta(context.last, 1, 3, [], [], 0, 0, 8, 0, ["m"], 1)
     assert context.fleet.apply_update(changed, context.now_s)
 
 
--- a/packages/core/src/knapweedbridge_core/serving/endpoint.py
+++ b/packages/core/src/knapweedbridge_core/serving/endpoint.py
@@ -6,7 +6,7 @@
 
 from knapweedbridge_core.serving.backpressure import Backpressure
 from knapweedbridge_core.serving.endpoint_records import EndpointRecord, EndpointStart
-from knapweedbridge_core.serving.messages import EngineChanged, EngineSnapshot
+from knapweedbridge_core.serving.messages import EngineDelta, EngineSnapshot
 from knapweedbridge_core.serving.model_ref import ModelRef
 from knapweedbridge_core.serving.recent_adapters import RecentAdapters
 
@@ -241,14 +241,12 @@
         # A snapshot of the same order was requested, and made after the change.
         return (message.number, message.order) >= told
 
-    def is_next(self, message: EngineChanged) -> bool:
+    def is_next(self, message: EngineDelta) -> bool:
         """Return whether a change directly follows the last update applied."""
         following = self.update_number, self.update_order + 1
         return (message.number, message.order) == following
 
-    def update_load(
-        self, message: EngineSnapshot | EngineChanged, now_s: float
-    ) -> None:
+    def update_load(self, message: EngineSnapshot | EngineDelta, now_s: float) -> None:
         """Apply the other daemons' calls and the other fields of every update."""
         self.update_number, self.update_order = message.number, message.order
         own = self._load_reported_by(now_s) if message.of_all else NO_REPORTED_LOAD
--- a/packages/core/src/knapweedbridge_core/serving/engine_updates.py
+++ b/packages/core/src/knapweedbridge_core/serving/engine_updates.py
@@ -5,7 +5,7 @@
 
 from knapweedbridge_core.serving.endpoint_records import EndpointStart
 from knapweedbridge_core.serving.engine_controller import EngineController
-from knapweedbridge_core.serving.messages import EngineChanged, EngineSnapshot
+from knapweedbridge_core.serving.messages import EngineDelta, EngineSnapshot
 from knapweedbridge_core.serving.model_ref import ModelRef
 
 LOAD_UPDATE_INTERVAL_S = 0.02
@@ -31,7 +31,7 @@
     """An update and the daemon that gets it."""
 
     daemon: str
-    message: EngineSnapshot | EngineChanged
+    message: EngineSnapshot | EngineDelta
 
 
 class EngineUpdates:
@@ -155,7 +155,7 @@
         return self._addressed(daemons, self._snapshot(now_s)) if daemons else []
 
     def _addressed(
-        self, daemons: set[str], message: EngineSnapshot | EngineChanged
+        self, daemons: set[str], message: EngineSnapshot | EngineDelta
     ) -> list[AddressedUpdate]:
         """Address a message to each daemon, with the load of all others.
 
@@ -221,9 +221,9 @@
             speed=keeper.speed.speed,
         )
 
-    def _changes(self, now_s: float) -> EngineChanged:
+    def _changes(self, now_s: float) -> EngineDelta:
         rows = self._rows()
-        return EngineChanged(
+        return EngineDelta(
             self._endpoint,
             self._number,
             self._order,
--- a/packages/core/src/knapweedbridge_core/serving/fleet.py
+++ b/packages/core/src/knapweedbridge_core/serving/fleet.py
@@ -5,7 +5,7 @@
 
 from knapweedbridge_core.serving.endpoint import Endpoint, HeldAdapter
 from knapweedbridge_core.serving.endpoint_records import EndpointRecord, EndpointStart
-from knapweedbridge_core.serving.messages import EngineChanged, EngineSnapshot
+from knapweedbridge_core.serving.messages import EngineDelta, EngineSnapshot
 from knapweedbridge_core.serving.model_ref import ModelRef
 from knapweedbridge_core.serving.paced_engines import PacedEngines
 from knapweedbridge_core.serving.service_speeds import ServiceSpeeds
@@ -148,7 +148,7 @@
         return True
 
     def _of_start(
-        self, message: EngineSnapshot | EngineChanged, now_s: float
+        self, message: EngineSnapshot | EngineDelta, now_s: float
     ) -> Endpoint | None:
         """Return the endpoint that a message describes; None for an earlier start."""
         known = self.endpoints.get(message.endpoint)
@@ -183,7 +183,7 @@
         return endpoint
 
     def _record_speed(
-        self, endpoint: Endpoint, message: EngineSnapshot | EngineChanged, now_s: float
+        self, endpoint: Endpoint, message: EngineSnapshot | EngineDelta, now_s: float
     ) -> None:
         self.paced.note(endpoint)
         engines = self._by_service[endpoint.record.service].values()
@@ -220,7 +220,7 @@
             speed=endpoint.published_speed,
         )
 
-    def has_gap_before(self, message: EngineChanged) -> bool:
+    def has_gap_before(self, message: EngineDelta) -> bool:
         """Return whether a message before an update was missed."""
         endpoint = self.endpoints.get(message.endpoint)
         if endpoint is None:
@@ -228,7 +228,7 @@
         following = endpoint.update_number, endpoint.update_order + 1
         return (message.number, message.order) > following
 
-    def apply_update(self, message: EngineChanged, now_s: float) -> bool:
+    def apply_update(self, message: EngineDelta, now_s: float) -> bool:
         """Apply an owner's update; return False if it is not the next one."""
         endpoint = self._of_start(message, now_s)
         if endpoint is None or not endpoint.is_next(message):
--- a/packages/core/src/knapweedbridge_core/serving/messages.py
+++ b/packages/core/src/knapweedbridge_core/serving/messages.py
@@ -162,8 +162,8 @@
     speed: float = 0.0
 
 
-@message
-class EngineChanged:
+@message(tag="EngineChanged")
+class EngineDelta:
     """Update of the owner's previous message; fields as in `EngineSnapshot`.
 
     Parameters
--- a/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
@@ -9,7 +9,7 @@
 from knapweedbridge_core.peer_events import PeerDisconnected, PeerMessage
 from knapweedbridge_core.serving import Endpoint, understands
 from knapweedbridge_core.serving.messages import (
-    EngineChanged,
+    EngineDelta,
     EngineSnapshot,
     EngineSnapshotRequest,
     OwnerAck,
@@ -86,7 +86,7 @@
         """Return what takes a message, by its class; others are passed over."""
         takers: dict[type, Callable[[str, Any], Awaitable[None]]] = {
             EngineSnapshot: self._take_of_owner,
-            EngineChanged: self._take_of_owner,
+            EngineDelta: self._take_of_owner,
             TurnGrant: self._take_turns,
             OwnerAck: self._take_answered,
         }
@@ -162,10 +162,10 @@
         self.turns.given(message)
 
     async def _take_of_owner(
-        self, daemon: str, message: EngineSnapshot | EngineChanged
+        self, daemon: str, message: EngineSnapshot | EngineDelta
     ) -> None:
         """Take what an owner tells this daemon itself of its engine."""
-        if isinstance(message, EngineChanged):
+        if isinstance(message, EngineDelta):
             await self._take_changed(message)
         elif self._take_told(message, anyio.current_time()):
             self.relaying.record_engine_update(message)
@@ -201,7 +201,7 @@
             self.running.tell(endpoint.start)
         return True
 
-    async def _take_changed(self, message: EngineChanged) -> None:
+    async def _take_changed(self, message: EngineDelta) -> None:
         fleet = self._hub.cluster.fleet
         if self._take_change(message, anyio.current_time()):
             self.relaying.record_engine_update(message)
@@ -210,7 +210,7 @@
             if endpoint.owner:
                 await self._ask(endpoint, endpoint.owner, ASK_ALL_S)
 
-    def _take_change(self, message: EngineChanged, now_s: float) -> bool:
+    def _take_change(self, message: EngineDelta, now_s: float) -> bool:
         """Take a change; False where it is outdated or one before it was missed."""
         fleet = self._hub.cluster.fleet
         endpoint = fleet.endpoints.get(message.endpoint)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/store_update_codec.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/store_update_codec.py
@@ -14,7 +14,7 @@
 
 from knapweedbridge_core.codec import decode, encode, unpacker
 from knapweedbridge_core.serving.messages import (
-    EngineChanged,
+    EngineDelta,
     EngineSnapshot,
     StoreUpdate,
 )
@@ -36,13 +36,13 @@
     return [StoreItem(key, value, revision) for key, value, revision in rows]
 
 
-def pack_engines(rows: Iterable[EngineSnapshot | EngineChanged]) -> bytes:
+def pack_engines(rows: Iterable[EngineSnapshot | EngineDelta]) -> bytes:
     """Encode what owners told of their engines."""
     packed = b"".join(map(encode, rows))
     return zlib.compress(packed, LEVEL) if packed else b""
 
 
-def unpack_engines(message: StoreUpdate) -> list[EngineSnapshot | EngineChanged]:
+def unpack_engines(message: StoreUpdate) -> list[EngineSnapshot | EngineDelta]:
     """Decode what owners told of their engines."""
     if not message.engines:
         return []
--- a/packages/daemon/src/knapweedbridge_daemon/serving/update_relay.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/update_relay.py
@@ -18,7 +18,7 @@
 
 from knapweedbridge_core.serving import Endpoint, SubscriberMarks, subscribers
 from knapweedbridge_core.serving.messages import (
-    EngineChanged,
+    EngineDelta,
     EngineSnapshot,
     RelayRequest,
     StoreUpdate,
@@ -64,7 +64,7 @@
         self._revision = 0
         self._heard_s = float("-inf")
         self._items: list[StoreItem] = []
-        self._rows: list[EngineSnapshot | EngineChanged] = []
+        self._rows: list[EngineSnapshot | EngineDelta] = []
         self._told_s = float("-inf")
         self._told: set[str] = set()
         self._adopted_s: dict[str, float] = {}
@@ -80,7 +80,7 @@
         identity, cluster = self._hub.identity, self._hub.cluster
         return identity.name in cluster.relays.get(identity.data_centre, ())
 
-    def record_engine_update(self, message: EngineSnapshot | EngineChanged) -> None:
+    def record_engine_update(self, message: EngineSnapshot | EngineDelta) -> None:
         """Take what an owner told this daemon itself, once it is believed here."""
         if message.of_all and self.is_relay:
             self._rows.append(message)
@@ -190,7 +190,7 @@
         return replace(message, since=missed_after, items=pack_items(missed))
 
     def _message(
-        self, rows: Iterable[EngineSnapshot | EngineChanged], now_s: float
+        self, rows: Iterable[EngineSnapshot | EngineDelta], now_s: float
     ) -> StoreUpdate:
         if now_s - self._heard_s > STORE_AGE_S:
             return StoreUpdate(0, 0, pack_items([]), pack_engines(rows))
@@ -235,7 +235,7 @@
             )
         return list(self._own_hearers)
 
-    def _all_rows(self, now_s: float) -> list[EngineSnapshot | EngineChanged]:
+    def _all_rows(self, now_s: float) -> list[EngineSnapshot | EngineDelta]:
         fleet = self._hub.cluster.fleet
         heard: list[Endpoint] = [
             e for e in fleet.engines() if e.has_recent_update(now_s)
--- a/packages/standins/src/knapweedbridge_standins/serving_load/daemon.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_load/daemon.py
@@ -17,7 +17,7 @@
     WaitFor,
     max_first_event_wait_s,
 )
-from knapweedbridge_core.serving.messages import EngineChanged, EngineSnapshot
+from knapweedbridge_core.serving.messages import EngineDelta, EngineSnapshot
 from knapweedbridge_core.serving.placement_choices import Choice
 from knapweedbridge_core.serving.prompt_pacing import passes_at_once
 from knapweedbridge_daemon.serving.attempting import NOT_READY_S
@@ -63,18 +63,18 @@
             endpoint = self.fleet.listed(record, self.pool.clock.now_s)
             endpoint.owner = self.pool.owners[record.endpoint].daemon
 
-    def told(self, owner: str, message: EngineSnapshot | EngineChanged) -> None:
+    def told(self, owner: str, message: EngineSnapshot | EngineDelta) -> None:
         """Take an owner's telling."""
         self._take(message)
         self._look()
 
-    def relayed(self, rows: list[EngineSnapshot | EngineChanged]) -> None:
+    def relayed(self, rows: list[EngineSnapshot | EngineDelta]) -> None:
         """Take what a relay hands on."""
         for row in rows:
             self._take(row)
         self._look()
 
-    def _take(self, message: EngineSnapshot | EngineChanged) -> None:
+    def _take(self, message: EngineSnapshot | EngineDelta) -> None:
         now_s = self.pool.clock.now_s
         if isinstance(message, EngineSnapshot):
             self.load_times.told(message.cold_s)
--- a/packages/standins/src/knapweedbridge_standins/serving_load/pool.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_load/pool.py
@@ -19,7 +19,7 @@
     claimants,
     is_small,
 )
-from knapweedbridge_core.serving.messages import EngineChanged, EngineSnapshot
+from knapweedbridge_core.serving.messages import EngineDelta, EngineSnapshot
 from knapweedbridge_core.serving.overload import OVERLOAD_RETRY_AFTER_S
 from knapweedbridge_core.serving.ownership import DaemonRecord
 from knapweedbridge_standins.serving_load.call import WAY_S, LoadCall
@@ -146,7 +146,7 @@
         ]
 
     def tell(
-        self, daemon: str, owner: str, message: EngineSnapshot | EngineChanged
+        self, daemon: str, owner: str, message: EngineSnapshot | EngineDelta
     ) -> None:
         """Bring an owner's telling to a daemon."""
         told = self._relay.told if daemon == RELAY else self.daemons[daemon].told
--- a/packages/standins/src/knapweedbridge_standins/serving_load/relay.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_load/relay.py
@@ -3,7 +3,7 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
-from knapweedbridge_core.serving.messages import EngineChanged, EngineSnapshot
+from knapweedbridge_core.serving.messages import EngineDelta, EngineSnapshot
 from knapweedbridge_daemon.serving.update_relay import RELAY_S
 from knapweedbridge_standins.serving_load.call import WAY_S
 
@@ -19,10 +19,10 @@
 
     def __init__(self, pool: "ModelledPool") -> None:
         self._pool = pool
-        self._rows: list[EngineSnapshot | EngineChanged] = []
+        self._rows: list[EngineSnapshot | EngineDelta] = []
         self._woken = False
 
-    def told(self, owner: str, message: EngineSnapshot | EngineChanged) -> None:
+    def told(self, owner: str, message: EngineSnapshot | EngineDelta) -> None:
         """Take an owner's telling."""
         self._rows.append(message)
         if not self._woken:
