--- a/features/accounts/steps/keeper_steps.py
+++ b/features/accounts/steps/keeper_steps.py
@@ -38,14 +38,14 @@
             self.hub.cluster.take(DaemonNamed(each), 0.0)
         self._peers = peers
         self._account = account
-        self.shares = AccountQuotas(self.hub, self._send)
+        self.quotas = AccountQuotas(self.hub, self._send)
         self.name_accounts(1, ())
         self.renew()
 
     def name_accounts(self, version, accounts):
         deployment = Deployment(version, (), {}, accounts=Accounts(accounts))
         self.hub.cluster.take(DeploymentNamed(deployment), 0.0)
-        self.shares.parts.refresh()
+        self.quotas.parts.refresh()
 
     def hear(self, version=2):
         self.name_accounts(version, (self._account,))
@@ -55,7 +55,7 @@
 
     async def _send(self, daemon, message):
         peer = self._peers[daemon]
-        await peer.shares.handle(self.hub.identity.name, message)
+        await peer.quotas.handle(self.hub.identity.name, message)
 
 
 @given(
@@ -84,7 +84,7 @@
     """Return the daemon that keeps an account's only part."""
     one = Peer(RECORDS[0], {}, account)
     one.hear()
-    return one.shares.parts.coordinators(account.name)[0]
+    return one.quotas.parts.coordinators(account.name)[0]
 
 
 async def first_answer(account, state):
@@ -100,16 +100,16 @@
             await anyio.sleep(KEPT_FOR_S)
         if "taken over" in state:
             keeper.hub.cluster.deployment = None
-            keeper.shares.parts._seen = (None, None)
+            keeper.quotas.parts._seen = (None, None)
             keeper.hear(3)
             await anyio.sleep(0.8)
         if "has given all" in state:
-            while await asker.shares.take(account, 2000) is None:
+            while await asker.quotas.take(account, 2000) is None:
                 pass
         tasks.start_soon(lag, keeper, state)
         await anyio.sleep(0)
         began_s = anyio.current_time()
-        refusal = await asker.shares.take(account, 200)
+        refusal = await asker.quotas.take(account, 200)
         tasks.cancel_scope.cancel()
     return refusal, anyio.current_time() - began_s
 
--- a/packages/daemon/src/knapweedbridge_daemon/serving/host.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/host.py
@@ -149,7 +149,7 @@
         )
         link.on_store_update = follower.heard
         lease = LeaseController(hub, follower, link.owners.stop)
-        app = CallersApp(hub, CallRunner(hub, link), link.shares)
+        app = CallersApp(hub, CallRunner(hub, link), link.quotas)
         held = MemoryGuard(hub)
         handle = held.guard(app.handle)
         face = HttpServer(
--- a/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
@@ -74,7 +74,7 @@
         self.signs = BackpressureRecorder(hub, self.permits)
         self.forwarding = TunnelForwarder(hub, tunnels)
         self.owners = EngineOwners(hub, self.send, self.permits, self.signs)
-        self.shares = AccountQuotas(hub, self.send)
+        self.quotas = AccountQuotas(hub, self.send)
         self.resuming = StreamResumer(hub, self.send)
         self.crashes = CrashWatch(hub, self.send)
         self._relays_asked_s: dict[str, float] = {}
@@ -90,7 +90,7 @@
             TurnGrant: self._take_turns,
             OwnerAck: self._take_answered,
         }
-        takers |= dict.fromkeys((QuotaRequest, QuotaResponse), self.shares.handle)
+        takers |= dict.fromkeys((QuotaRequest, QuotaResponse), self.quotas.handle)
         takers |= dict.fromkeys(get_args(LossMessage), self.crashes.handle)
         of_calls = get_args(PlainMessage) + get_args(PermitMessage)
         takers |= dict.fromkeys(of_calls, self._take_of_calls)
@@ -143,7 +143,7 @@
                 if starts.get(name, start) != start:
                     self.owners.forget_daemon(name)
             known = starts
-            self.shares.parts.refresh()
+            self.quotas.parts.refresh()
             await self.resuming.refresh()
             await self._hub.cluster_changed.wait(5.0)
 
