--- a/bench/overload_scenarios.py
+++ b/bench/overload_scenarios.py
@@ -238,7 +238,7 @@
 def deaf(host: str, data_centre: str) -> Bridge:
     """Return a core that believes the platform's list alone."""
     bridge = Bridge(host, data_centre)
-    bridge._context.leaving.note = lambda endpoint, sign, now_s: False  # type: ignore
+    bridge._context.leaving.record = lambda endpoint, sign, now_s: False  # type: ignore
     return bridge
 
 
--- a/packages/core/src/knapweedbridge_core/leaving.py
+++ b/packages/core/src/knapweedbridge_core/leaving.py
@@ -49,7 +49,7 @@
         held = self._signs.get(endpoint)
         return held.sign if held else None
 
-    def note(self, endpoint: str, sign: Sign, now_s: float) -> bool:
+    def record(self, endpoint: str, sign: Sign, now_s: float) -> bool:
         """Take a sign; True where it is new or stronger than the one held."""
         held = self.sign(endpoint)
         if held is Sign.ORDERED:
--- a/packages/core/src/knapweedbridge_core/leaving_side.py
+++ b/packages/core/src/knapweedbridge_core/leaving_side.py
@@ -114,7 +114,7 @@
             self._context.broadcast(messages.LeavingTold(endpoint, True, False))
 
     def _note(self, endpoint: str, sign: Sign) -> bool:
-        new = self._context.leaving.note(endpoint, sign, self._context.now_s)
+        new = self._context.leaving.record(endpoint, sign, self._context.now_s)
         if new:
             self._context.record("endpoint.leaves", endpoint=endpoint, sign=sign.value)
         return new
