--- a/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
@@ -36,7 +36,7 @@
 )
 from knapweedbridge_daemon.serving.running_calls import RunningCalls
 from knapweedbridge_daemon.serving.store_update_codec import unpack_engines
-from knapweedbridge_daemon.serving.stream_resumer import OfOrigins, StreamResumer
+from knapweedbridge_daemon.serving.stream_resumer import OriginMessage, StreamResumer
 from knapweedbridge_daemon.serving.turns import Turns
 from knapweedbridge_daemon.serving.update_relay import UpdateRelay
 
@@ -94,7 +94,7 @@
         takers |= dict.fromkeys(get_args(LossMessage), self.crashes.handle)
         of_calls = get_args(PlainMessage) + get_args(PermitMessage)
         takers |= dict.fromkeys(of_calls, self._take_of_calls)
-        takers |= dict.fromkeys(get_args(OfOrigins), self.resuming.handle)
+        takers |= dict.fromkeys(get_args(OriginMessage), self.resuming.handle)
         of_relay = StoreUpdate, StoreMark, RelayRequest
         takers |= dict.fromkeys(of_relay, self._take_of_relay)
         return takers | dict.fromkeys(get_args(OwnerMessage), self.owners.handle)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/stream_resumer.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/stream_resumer.py
@@ -51,7 +51,7 @@
 PROBE = OriginRequest("", "", 0.0, 0)
 """Shows whether a daemon takes part."""
 
-OfOrigins = OriginsRecorded | OriginRequest | OriginResponse
+OriginMessage = OriginsRecorded | OriginRequest | OriginResponse
 
 
 @dataclass(slots=True, eq=False)
@@ -308,7 +308,7 @@
         for name in question.ask(others):
             await self._send(name, asked)
 
-    async def handle(self, daemon: str, message: OfOrigins) -> None:
+    async def handle(self, daemon: str, message: OriginMessage) -> None:
         """Receive a record, a question or an answer."""
         if isinstance(message, OriginsRecorded):
             self._keep(message)
