--- a/bench/overload_scenarios.py
+++ b/bench/overload_scenarios.py
@@ -296,7 +296,7 @@
         super().__init__(host, data_centre)
         gate = self.requests._gate
         gate.arrived = lambda request: gate.admission.queue.add(request)  # type: ignore
-        gate.places = lambda: 1_000_000  # type: ignore
+        gate.concurrency_limit = lambda: 1_000_000  # type: ignore
         gate.given_up = lambda: []  # type: ignore
 
 
@@ -315,7 +315,7 @@
         actions = super().handle(event, now_s)
         gate = self.requests._gate
         for request, _ in gate.admission.hopeless(
-            self.configuration, gate.places(), now_s
+            self.configuration, gate.concurrency_limit(), now_s
         ):
             self.hopeless_s.setdefault(request.request_id, now_s)
         return actions
--- a/packages/core/src/knapweedbridge_core/admission.py
+++ b/packages/core/src/knapweedbridge_core/admission.py
@@ -51,7 +51,9 @@
         old = self._service_s.get(request.priority, took_s)
         self._service_s[request.priority] = old + SMOOTHING * (took_s - old)
 
-    def pace_s(self, priority: str, places: int, caution: float = 1.0) -> float:
+    def pace_s(
+        self, priority: str, concurrency_limit: int, caution: float = 1.0
+    ) -> float:
         """Predict how long a request waits for each one before it."""
         known = [
             self._service_s[name] for name in PRIORITIES if name in self._service_s
@@ -62,7 +64,7 @@
         higher = PRIORITIES[: PRIORITIES.index(priority)]
         taken = sum(self._taken.get(name, 0.0) for name in higher)
         left = max(LEAST_LEFT, 1.0 - caution * taken)
-        return mean_s / (places * left)
+        return mean_s / (concurrency_limit * left)
 
     def taken(self, request: Request) -> None:
         """Note that a request took a place."""
@@ -76,7 +78,7 @@
         request: Request,
         configuration: Configuration,
         daemons: int,
-        places: int,
+        concurrency_limit: int,
         now_s: float,
     ) -> NotRun | None:
         """Return why a request is refused on arrival, or None."""
@@ -84,7 +86,7 @@
         if wait_s > 0:
             return _come_back(Reason.LIMIT, wait_s)
         ahead = self.queue.ahead(request, _shares(configuration))
-        wait_s = ahead * self.pace_s(request.priority, places, CAUTION)
+        wait_s = ahead * self.pace_s(request.priority, concurrency_limit, CAUTION)
         late = self._is_late(request, wait_s, now_s)
         full = self.queue.of_caller(request) >= self._caller_requests
         if late or full:
@@ -96,7 +98,7 @@
         return self.queue.last() if len(self.queue) > self._queue_requests else None
 
     def hopeless(
-        self, configuration: Configuration, places: int, now_s: float
+        self, configuration: Configuration, concurrency_limit: int, now_s: float
     ) -> list[tuple[Request, NotRun]]:
         """Return the waiting requests that can no longer be answered in time.
 
@@ -106,7 +108,7 @@
         """
         refused = []
         ahead = 0
-        paces_s = {name: self.pace_s(name, places) for name in PRIORITIES}
+        paces_s = {name: self.pace_s(name, concurrency_limit) for name in PRIORITIES}
         for request in self.queue.in_order(_shares(configuration)):
             wait_s = ahead * paces_s[request.priority]
             if self._is_late(request, wait_s, now_s):
--- a/packages/core/src/knapweedbridge_core/admission_gate.py
+++ b/packages/core/src/knapweedbridge_core/admission_gate.py
@@ -24,7 +24,7 @@
         self._context = context
         self.admission = Admission()
 
-    def places(self) -> int:
+    def concurrency_limit(self) -> int:
         """Return how many model requests this daemon may run at a time.
 
         Its part of what the engines run in a step, by the daemons that take
@@ -43,7 +43,7 @@
             request,
             self._context.configuration,
             self._daemons(),
-            self.places(),
+            self.concurrency_limit(),
             self._context.now_s,
         )
         self.admission.limits.begun(request)
@@ -53,7 +53,7 @@
 
     def next(self, running: int) -> Request | None:
         """Return the next request to run, if there is a place for it."""
-        if running >= self.places():
+        if running >= self.concurrency_limit():
             return None
         teams = self._context.configuration.teams.values()
         request = self.admission.queue.pop({team.name: team.share for team in teams})
@@ -64,7 +64,7 @@
     def given_up(self) -> list[tuple[Request, NotRun]]:
         """Return the waiting requests that are refused now."""
         refused = self.admission.hopeless(
-            self._context.configuration, self.places(), self._context.now_s
+            self._context.configuration, self.concurrency_limit(), self._context.now_s
         )
         last = self.admission.overflow()
         if last is not None:
