--- a/bench/overload_scenarios.py
+++ b/bench/overload_scenarios.py
@@ -295,7 +295,7 @@
     def __init__(self, host: str, data_centre: str) -> None:
         super().__init__(host, data_centre)
         gate = self.requests._gate
-        gate.arrived = lambda request: gate.admission.queue.add(request)  # type: ignore
+        gate.admit = lambda request: gate.admission.queue.add(request)  # type: ignore
         gate.concurrency_limit = lambda: 1_000_000  # type: ignore
         gate.given_up = lambda: []  # type: ignore
 
--- a/packages/core/src/knapweedbridge_core/admission_gate.py
+++ b/packages/core/src/knapweedbridge_core/admission_gate.py
@@ -37,7 +37,7 @@
     def _daemons(self) -> int:
         return max(1, len(self._context.members.available()))
 
-    def arrived(self, request: Request) -> NotRun | None:
+    def admit(self, request: Request) -> NotRun | None:
         """Take a request, or return why it is refused."""
         refusal = self.admission.refusal(
             request,
--- a/packages/core/src/knapweedbridge_core/request_side.py
+++ b/packages/core/src/knapweedbridge_core/request_side.py
@@ -76,7 +76,7 @@
         if lacks_key(request):
             self._finish(request.request_id, NotRun(Reason.KEY_REQUIRED))
             return
-        refusal = self._gate.arrived(request)
+        refusal = self._gate.admit(request)
         if refusal is not None:
             self._finish(request.request_id, refusal)
             # Those that wait are looked at as well: under overload most arrivals are
