--- a/bench/overload_scenarios.py
+++ b/bench/overload_scenarios.py
@@ -297,7 +297,7 @@
         gate = self.requests._gate
         gate.admit = lambda request: gate.admission.queue.add(request)  # type: ignore
         gate.concurrency_limit = lambda: 1_000_000  # type: ignore
-        gate.given_up = lambda: []  # type: ignore
+        gate.refused_waiting = lambda: []  # type: ignore
 
 
 class Watched(Bridge):
@@ -328,7 +328,7 @@
         super().__init__(host, data_centre)
         gate = self.requests._gate
         admission, late = gate.admission, NotRun(Reason.OVERLOAD, 1.0)
-        gate.given_up = lambda: [  # type: ignore
+        gate.refused_waiting = lambda: [  # type: ignore
             (request, late)
             for request in admission.queue
             if admission._is_late(request, 0.0, self._context.now_s)
--- a/packages/core/src/knapweedbridge_core/admission_gate.py
+++ b/packages/core/src/knapweedbridge_core/admission_gate.py
@@ -61,7 +61,7 @@
             self.admission.taken(request)
         return request
 
-    def given_up(self) -> list[tuple[Request, NotRun]]:
+    def refused_waiting(self) -> list[tuple[Request, NotRun]]:
         """Return the waiting requests that are refused now."""
         refused = self.admission.hopeless(
             self._context.configuration, self.concurrency_limit(), self._context.now_s
--- a/packages/core/src/knapweedbridge_core/request_side.py
+++ b/packages/core/src/knapweedbridge_core/request_side.py
@@ -100,7 +100,7 @@
             self._give_up_waiting()
 
     def _give_up_waiting(self) -> None:
-        for request, outcome in self._gate.given_up():
+        for request, outcome in self._gate.refused_waiting():
             if request.request_id in self.live:
                 self._finish(request.request_id, outcome)
 
