--- a/bench/overload_scenarios.py
+++ b/bench/overload_scenarios.py
@@ -314,7 +314,7 @@
         """See `Bridge.handle`."""
         actions = super().handle(event, now_s)
         gate = self.requests._gate
-        for request, _ in gate.admission.hopeless(
+        for request, _ in gate.admission.infeasible(
             self.configuration, gate.concurrency_limit(), now_s
         ):
             self.hopeless_s.setdefault(request.request_id, now_s)
--- a/packages/core/src/knapweedbridge_core/admission.py
+++ b/packages/core/src/knapweedbridge_core/admission.py
@@ -97,7 +97,7 @@
         """Return the request that must leave a queue that grew too long."""
         return self.queue.last() if len(self.queue) > self._queue_requests else None
 
-    def hopeless(
+    def infeasible(
         self, configuration: Configuration, concurrency_limit: int, now_s: float
     ) -> list[tuple[Request, NotRun]]:
         """Return the waiting requests that can no longer be answered in time.
--- a/packages/core/src/knapweedbridge_core/admission_gate.py
+++ b/packages/core/src/knapweedbridge_core/admission_gate.py
@@ -63,7 +63,7 @@
 
     def refused_waiting(self) -> list[tuple[Request, NotRun]]:
         """Return the waiting requests that are refused now."""
-        refused = self.admission.hopeless(
+        refused = self.admission.infeasible(
             self._context.configuration, self.concurrency_limit(), self._context.now_s
         )
         last = self.admission.overflow()
