--- a/packages/core/src/knapweedbridge_core/owned_endpoints.py
+++ b/packages/core/src/knapweedbridge_core/owned_endpoints.py
@@ -43,13 +43,13 @@
         now_s = self._context.now_s
         if now_s - self._ticked_s >= SILENCE_TIMEOUT_S:
             return False
-        heard = [
+        record_contact = [
             at_s for at_s in self._heard_s.values() if now_s - at_s < SILENCE_TIMEOUT_S
         ]
         others = min(len(self._context.members.known()), NEIGHBOURS)
-        return 2 * (len(heard) + 1) > others + 1
+        return 2 * (len(record_contact) + 1) > others + 1
 
-    def heard(self, host: str) -> None:
+    def record_contact(self, host: str) -> None:
         """Note that a daemon was heard."""
         self._heard_s[host] = self._context.now_s
 
--- a/packages/core/src/knapweedbridge_core/owner_side.py
+++ b/packages/core/src/knapweedbridge_core/owner_side.py
@@ -247,7 +247,7 @@
             self._owned.publish(tenure)
 
     def _peer_message(self, event: events.PeerMessage) -> None:
-        self._owned.heard(event.host)
+        self._owned.record_contact(event.host)
 
     def _peer_connected(self, event: events.PeerConnected) -> None:
         for tenure in self.tenures.values():
