--- a/packages/daemon/src/knapweedbridge_daemon/serving/engine_owners.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/engine_owners.py
@@ -131,7 +131,7 @@
             model = ModelRef(message.base, message.adapter)
             owner.wanted(daemon, model, message.version)
         elif isinstance(message, TurnRequest):
-            await owner.turns.asked(daemon, message)
+            await owner.turns.enqueue(daemon, message)
         elif isinstance(message, EngineSnapshotRequest):
             await owner.request_snapshot(daemon)
         elif isinstance(message, AdapterMissing):
--- a/packages/daemon/src/knapweedbridge_daemon/serving/turn_scheduler.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/turn_scheduler.py
@@ -65,7 +65,7 @@
             return NoPacing()
         return WindowPacing(gap_s, self._hub.rates.token_s(service))
 
-    async def asked(self, daemon: str, message: TurnRequest) -> None:
+    async def enqueue(self, daemon: str, message: TurnRequest) -> None:
         """Take a daemon's question, and answer it at once."""
         now_s = anyio.current_time()
         self._pacer.ask(
