--- a/packages/daemon/src/knapweedbridge_daemon/serving/first_byte_timeouts.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/first_byte_timeouts.py
@@ -99,7 +99,7 @@
         patience.scope.deadline = math.inf
         self._forget(patience)
 
-    def named(self, model: ModelRef) -> None:
+    def record_version(self, model: ModelRef) -> None:
         """Take that a version of an adapter was named."""
         for patience in self._waiting.get(model, ()):
             self._bound(model, patience)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/store_follower.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/store_follower.py
@@ -326,7 +326,7 @@
             case CallAllowed(mark):
                 hub.crashes.record_unpublished(mark, now_s)
             case VersionNamed(model):
-                hub.first_byte_timeouts.named(model)
+                hub.first_byte_timeouts.record_version(model)
             case DeploymentNamed(deployment):
                 hub.rates.set_accepted_gaps(deployment.longest_pauses_s())
 
