--- a/bench/placement.py
+++ b/bench/placement.py
@@ -303,7 +303,7 @@
 
 def decision_cost_us(adapters: int, waiting: int) -> float:
     """Measure one decision in microseconds with many adapters and waiters."""
-    from knapweedbridge_core.load_queue import Asker
+    from knapweedbridge_core.load_queue import DaemonDemand
     from knapweedbridge_core.names import AdapterVersion
 
     stream = arrivals(replace(OKAVANGO, adapters=adapters), 50.0, 1000.0, 1, Faults())
@@ -318,13 +318,13 @@
         order.used(arrival.model, 1, arrival.at_s)
     now_s = 1000.0
     for number in range(waiting):
-        asker = Asker(1, now_s, now_s + 1e6, now_s + 1e6, now_s)
+        asker = DaemonDemand(1, now_s, now_s + 1e6, now_s + 1e6, now_s)
         order.wanted(AdapterVersion(f"w{number}", "1"), "host-0", asker, run.pool)
     spent_s = 0.0
     for turn in range(200):
         now_s += 0.4
         started_s = time.perf_counter()
-        asker = Asker(1, now_s, now_s + 1e6, now_s + 1e6, now_s)
+        asker = DaemonDemand(1, now_s, now_s + 1e6, now_s + 1e6, now_s)
         order.wanted(AdapterVersion(f"x{turn}", "1"), "host-0", asker, run.pool)
         order.used(AdapterVersion(f"x{turn}", "1"), 1, now_s)
         placed = order.next_load(run.pool, now_s)
--- a/bench/placement_model.py
+++ b/bench/placement_model.py
@@ -14,7 +14,7 @@
 
 from knapweedbridge_core.configuration import EndpointEntry
 from knapweedbridge_core.forecast import Forecast
-from knapweedbridge_core.load_queue import Asker
+from knapweedbridge_core.load_queue import DaemonDemand
 from knapweedbridge_core.loads import LoadOrder, Pool
 from knapweedbridge_core.messages import EndpointUpdate
 from knapweedbridge_core.names import AdapterVersion
@@ -251,7 +251,7 @@
 
     def _ask(self, now_s: float, model: AdapterVersion) -> None:
         waiting = self._waiting[model]
-        asker = Asker(
+        asker = DaemonDemand(
             len(waiting),
             waiting[0].at_s,
             waiting[0].at_s + DEADLINE_S,
--- a/features/placement/steps/load_steps.py
+++ b/features/placement/steps/load_steps.py
@@ -1,7 +1,7 @@
 from behave import given, then, when
 
 from knapweedbridge_core.configuration import EndpointEntry
-from knapweedbridge_core.load_queue import Asker
+from knapweedbridge_core.load_queue import DaemonDemand
 from knapweedbridge_core.load_rate import share_of_rate
 from knapweedbridge_core.loads import LoadOrder, Pool
 from knapweedbridge_core.messages import EndpointUpdate
@@ -36,7 +36,7 @@
 
     def wanted(self, name, waiters=1, host="host-1", left_s=60.0):
         deadline_s = self.now_s + left_s
-        asker = Asker(waiters, self.now_s, deadline_s, deadline_s, self.now_s)
+        asker = DaemonDemand(waiters, self.now_s, deadline_s, deadline_s, self.now_s)
         return self.order.wanted(model(name), host, asker, self.pool)
 
     def start(self):
--- a/packages/core/src/knapweedbridge_core/load_queue.py
+++ b/packages/core/src/knapweedbridge_core/load_queue.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(slots=True)
-class Asker:
+class DaemonDemand:
     """What one daemon's callers wait for.
 
     Parameters
@@ -39,7 +39,7 @@
     """One adapter version that requests wait for."""
 
     model: AdapterVersion
-    askers: dict[str, Asker] = field(default_factory=dict)
+    askers: dict[str, DaemonDemand] = field(default_factory=dict)
     place: float = 0.0
 
     @property
@@ -119,7 +119,7 @@
         """Return what waits for an adapter version."""
         return self._wanted.get(model)
 
-    def ask(self, model: AdapterVersion, host: str, asker: Asker) -> Wanted:
+    def ask(self, model: AdapterVersion, host: str, asker: DaemonDemand) -> Wanted:
         """Note what a daemon's callers wait for; a repeat replaces."""
         wanted = self._wanted.setdefault(model, Wanted(model))
         if wanted.askers:
--- a/packages/core/src/knapweedbridge_core/load_side.py
+++ b/packages/core/src/knapweedbridge_core/load_side.py
@@ -3,7 +3,7 @@
 from knapweedbridge_core import events, messages
 from knapweedbridge_core.context import Context, Handler, Side
 from knapweedbridge_core.forecast import ChangeAware
-from knapweedbridge_core.load_queue import Asker
+from knapweedbridge_core.load_queue import DaemonDemand
 from knapweedbridge_core.load_rate import share_of_rate
 from knapweedbridge_core.loads import LoadOrder, Pool, Refusal
 from knapweedbridge_core.names import AdapterVersion
@@ -80,7 +80,7 @@
         if message.model not in self._context.configuration.versions:
             return
         now_s = self._context.now_s
-        asker = Asker(
+        asker = DaemonDemand(
             message.waiters,
             now_s - message.oldest_wait_s,
             now_s + message.shortest_left_s,
--- a/packages/core/src/knapweedbridge_core/loads.py
+++ b/packages/core/src/knapweedbridge_core/loads.py
@@ -15,7 +15,7 @@
     LastUse,
 )
 from knapweedbridge_core.load_queue import (
-    Asker,
+    DaemonDemand,
     LoadPriority,
     LoadQueue,
     LongestWait,
@@ -138,7 +138,7 @@
         self.forecast.used(model, requests, now_s)
 
     def wanted(
-        self, model: AdapterVersion, host: str, asker: Asker, pool: Pool
+        self, model: AdapterVersion, host: str, asker: DaemonDemand, pool: Pool
     ) -> Refusal | None:
         """Note requests that wait for an adapter; refuse what comes too late.
 
