--- a/packages/daemon/src/knapweedbridge_daemon/serving/stream_resumer.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/stream_resumer.py
@@ -104,7 +104,7 @@
         if self._hub.cluster.fleet.software.has_several(call.service, now_s):
             await self._publish([(stream, origin)])
 
-    def ended(self, call: Call) -> None:
+    def record_end(self, call: Call) -> None:
         """Record that a stream came to its end."""
         self._own.forget(call.details.stream_id)
 
--- a/packages/standins/src/knapweedbridge_standins/serving_histories/stream_origins.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_histories/stream_origins.py
@@ -617,7 +617,7 @@
             if not (process.is_alive and is_same) or anyio.current_time() > cut_s:
                 return True
         if process.is_alive:
-            process.resuming.ended(cast(Call, call))
+            process.resuming.record_end(cast(Call, call))
         return False
 
     async def _take_up(self, stream: _Stream) -> tuple[_Process, _Call, _Server] | None:
