--- a/packages/core/src/knapweedbridge_core/load_queue.py
+++ b/packages/core/src/knapweedbridge_core/load_queue.py
@@ -45,12 +45,12 @@
     @property
     def waiters(self) -> int:
         """Requests that wait, over all daemons."""
-        return sum(asker.waiters for asker in self.askers.values())
+        return sum(demand.waiters for demand in self.askers.values())
 
     @property
     def since_s(self) -> float:
         """When the oldest request began to wait."""
-        return min(asker.since_s for asker in self.askers.values())
+        return min(demand.since_s for demand in self.askers.values())
 
 
 class LoadPriority(ABC):
@@ -119,12 +119,12 @@
         """Return what waits for an adapter version."""
         return self._wanted.get(model)
 
-    def ask(self, model: AdapterVersion, host: str, asker: DaemonDemand) -> Wanted:
+    def ask(self, model: AdapterVersion, host: str, demand: DaemonDemand) -> Wanted:
         """Note what a daemon's callers wait for; a repeat replaces."""
         wanted = self._wanted.setdefault(model, Wanted(model))
         if wanted.askers:
             self._sorted.discard(wanted)
-        wanted.askers[host] = asker
+        wanted.askers[host] = demand
         wanted.place = self._priority.place(wanted)
         self._sorted.add(wanted)
         return wanted
@@ -151,7 +151,7 @@
 
     def expired(self, wanted: Wanted, now_s: float) -> bool:
         """Tell whether all that wait are past their deadlines."""
-        return all(asker.longest_s <= now_s for asker in wanted.askers.values())
+        return all(demand.longest_s <= now_s for demand in wanted.askers.values())
 
     def ahead_of(self, wanted: Wanted) -> int:
         """Count the adapter versions that are loaded before this one."""
@@ -160,6 +160,6 @@
     def forget_silent(self, now_s: float) -> None:
         """Drop what nobody repeated: its waiters are gone, or their daemon."""
         for model, wanted in list(self._wanted.items()):
-            for host, asker in list(wanted.askers.items()):
-                if now_s - asker.heard_s > ASKER_SILENCE_S:
+            for host, demand in list(wanted.askers.items()):
+                if now_s - demand.heard_s > ASKER_SILENCE_S:
                     self.leave(model, host)
--- a/packages/core/src/knapweedbridge_core/load_side.py
+++ b/packages/core/src/knapweedbridge_core/load_side.py
@@ -80,7 +80,7 @@
         if message.model not in self._context.configuration.versions:
             return
         now_s = self._context.now_s
-        asker = DaemonDemand(
+        demand = DaemonDemand(
             message.waiters,
             now_s - message.oldest_wait_s,
             now_s + message.shortest_left_s,
@@ -88,7 +88,7 @@
             now_s,
         )
         sender = self._context.sender
-        refusal = self.load_order.wanted(message.model, sender, asker, self._pool())
+        refusal = self.load_order.wanted(message.model, sender, demand, self._pool())
         if refusal is not None:
             self._refuse(sender, refusal)
         self._start_loads()
--- a/packages/core/src/knapweedbridge_core/loads.py
+++ b/packages/core/src/knapweedbridge_core/loads.py
@@ -138,7 +138,7 @@
         self.forecast.used(model, requests, now_s)
 
     def wanted(
-        self, model: AdapterVersion, host: str, asker: DaemonDemand, pool: Pool
+        self, model: AdapterVersion, host: str, demand: DaemonDemand, pool: Pool
     ) -> Refusal | None:
         """Note requests that wait for an adapter; refuse what comes too late.
 
@@ -148,28 +148,28 @@
             What they wait for.
         host : str
             The daemon they wait at; what it said before is replaced.
-        asker : Asker
+        demand : Asker
             How many wait there, and until when.
         pool : Pool
             The pool now.
         """
-        now_s = asker.heard_s
+        now_s = demand.heard_s
         if self._failed.rests(model, now_s):
             pause_s = self._failed.wait_s(model, now_s)
             return Refusal(model, math.inf, pause_s)
         # It stays in the queue while it is under way: should the owner's answer
         # be lost, the waiters are still known.
-        wanted = self._queue.ask(model, host, asker)
+        wanted = self._queue.ask(model, host, demand)
         if model in self._under_way or not self._policy.refuse_late:
             return None
         ahead = max(self._queue.ahead_of(wanted), len(self._under_way))
         ready_in_s = (ahead + 1) * max(1 / pool.loads_per_s, self._load_s)
         ready_in_s += self._failed.wait_s(model, now_s)
-        if now_s + ready_in_s <= asker.shortest_s:
+        if now_s + ready_in_s <= demand.shortest_s:
             return None
-        if now_s + ready_in_s > asker.longest_s:
+        if now_s + ready_in_s > demand.longest_s:
             self._queue.leave(model, host)
-        late_s = now_s + ready_in_s - asker.shortest_s
+        late_s = now_s + ready_in_s - demand.shortest_s
         return Refusal(model, ready_in_s, max(late_s, 1 / pool.loads_per_s))
 
     def loaded(self, model: AdapterVersion, now_s: float) -> None:
