--- a/features/speeds/steps/learning_steps.py
+++ b/features/speeds/steps/learning_steps.py
@@ -198,7 +198,7 @@
     for _ in range(4):
         running.observed.record_first_event(endpoint.start, 1000, 0, s)
     for _ in range(40):
-        running.paused(endpoint, gap)
+        running.record_pause(endpoint, gap)
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(running.run)
         running.tell(endpoint.start)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/attempting.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/attempting.py
@@ -271,7 +271,7 @@
             forecast.first_s = now_s
             self._records.first_event(call, endpoint, forecast)
         elif call.event_s is not None:
-            self._link.running.paused(endpoint, now_s - call.event_s)
+            self._link.running.record_pause(endpoint, now_s - call.event_s)
             self._hub.rates.record_gap(endpoint, now_s - call.event_s)
         if not forecast.has_stayed and now_s - forecast.first_s >= STAYED_S:
             forecast.has_stayed = True
--- a/packages/daemon/src/knapweedbridge_daemon/serving/running_calls.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/running_calls.py
@@ -81,7 +81,7 @@
         endpoint.own_unread_tokens -= prompt_tokens
         self.tell(endpoint.start, soon=False)
 
-    def paused(self, endpoint: Endpoint, pause_s: float) -> None:
+    def record_pause(self, endpoint: Endpoint, pause_s: float) -> None:
         """Take the time between two events of a stream that runs there."""
         self.observed.record_gap(endpoint.start, pause_s)
         longest_s = self._pauses_s.get(endpoint.start, 0.0)
