--- a/packages/core/src/knapweedbridge_core/load_queue.py
+++ b/packages/core/src/knapweedbridge_core/load_queue.py
@@ -39,18 +39,18 @@
     """One adapter version that requests wait for."""
 
     model: AdapterVersion
-    askers: dict[str, DaemonDemand] = field(default_factory=dict)
+    demands: dict[str, DaemonDemand] = field(default_factory=dict)
     place: float = 0.0
 
     @property
     def waiters(self) -> int:
         """Requests that wait, over all daemons."""
-        return sum(demand.waiters for demand in self.askers.values())
+        return sum(demand.waiters for demand in self.demands.values())
 
     @property
     def since_s(self) -> float:
         """When the oldest request began to wait."""
-        return min(demand.since_s for demand in self.askers.values())
+        return min(demand.since_s for demand in self.demands.values())
 
 
 class LoadPriority(ABC):
@@ -122,9 +122,9 @@
     def ask(self, model: AdapterVersion, host: str, demand: DaemonDemand) -> Wanted:
         """Note what a daemon's callers wait for; a repeat replaces."""
         wanted = self._wanted.setdefault(model, Wanted(model))
-        if wanted.askers:
+        if wanted.demands:
             self._sorted.discard(wanted)
-        wanted.askers[host] = demand
+        wanted.demands[host] = demand
         wanted.place = self._priority.place(wanted)
         self._sorted.add(wanted)
         return wanted
@@ -139,11 +139,11 @@
     def leave(self, model: AdapterVersion, host: str) -> None:
         """Take back what one daemon asked for."""
         wanted = self._wanted.get(model)
-        if wanted is None or host not in wanted.askers:
+        if wanted is None or host not in wanted.demands:
             return
         self._sorted.discard(wanted)
-        del wanted.askers[host]
-        if wanted.askers:
+        del wanted.demands[host]
+        if wanted.demands:
             wanted.place = self._priority.place(wanted)
             self._sorted.add(wanted)
         else:
@@ -151,7 +151,7 @@
 
     def expired(self, wanted: Wanted, now_s: float) -> bool:
         """Tell whether all that wait are past their deadlines."""
-        return all(demand.longest_s <= now_s for demand in wanted.askers.values())
+        return all(demand.longest_s <= now_s for demand in wanted.demands.values())
 
     def ahead_of(self, wanted: Wanted) -> int:
         """Count the adapter versions that are loaded before this one."""
@@ -160,6 +160,6 @@
     def forget_silent(self, now_s: float) -> None:
         """Drop what nobody repeated: its waiters are gone, or their daemon."""
         for model, wanted in list(self._wanted.items()):
-            for host, demand in list(wanted.askers.items()):
+            for host, demand in list(wanted.demands.items()):
                 if now_s - demand.heard_s > ASKER_SILENCE_S:
                     self.leave(model, host)
--- a/packages/core/src/knapweedbridge_core/loads.py
+++ b/packages/core/src/knapweedbridge_core/loads.py
@@ -232,7 +232,7 @@
                 continue
             pause_s = self._failed.wait_s(model, now_s)
             refusal = Refusal(model, math.inf, pause_s)
-            told += [(host, refusal) for host in wanted.askers]
+            told += [(host, refusal) for host in wanted.demands]
         return told
 
     def next_load(self, pool: Pool, now_s: float) -> LoadPlaced | None:
