--- a/packages/daemon/src/knapweedbridge_daemon/serving/attempting.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/attempting.py
@@ -45,7 +45,7 @@
 """Time that an endpoint runs on after a first event, so that what it answers is sound:
 one that a prompt crashes ends within a tenth of a second."""
 
-NOT_READY_S = 0.04
+LOAD_RETRY_S = 0.04
 """Wait after an engine refused a call as its adapter's load is not done."""
 
 
@@ -260,7 +260,7 @@
             del endpoint.held[model]
         else:
             # The load is not done yet: a fetch elsewhere would take longer.
-            endpoint.held[model].ready_s = now_s + NOT_READY_S
+            endpoint.held[model].ready_s = now_s + LOAD_RETRY_S
             missed = AdapterMissing(endpoint.name, model.base, model.adapter)
             await self._link.send(endpoint.owner, missed)
 
--- a/packages/standins/src/knapweedbridge_standins/serving_load/daemon.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_load/daemon.py
@@ -20,7 +20,7 @@
 from knapweedbridge_core.serving.messages import EngineDelta, EngineSnapshot
 from knapweedbridge_core.serving.placement_choices import Choice
 from knapweedbridge_core.serving.prompt_pacing import passes_at_once
-from knapweedbridge_daemon.serving.attempting import NOT_READY_S
+from knapweedbridge_daemon.serving.attempting import LOAD_RETRY_S
 from knapweedbridge_daemon.serving.engine_observations import EngineObservations
 from knapweedbridge_daemon.serving.placing import (
     LOOK_S,
@@ -212,7 +212,7 @@
         elif not endpoint.has_recent_update(now_s):
             del endpoint.held[call.model]
         else:
-            endpoint.held[call.model].ready_s = now_s + NOT_READY_S
+            endpoint.held[call.model].ready_s = now_s + LOAD_RETRY_S
             owner = self.pool.owners[engine]
             self.pool.clock.after(WAY_S, lambda: owner.missed(call.model))
         self.place(call)
