--- a/packages/core/src/knapweedbridge_core/load_queue.py
+++ b/packages/core/src/knapweedbridge_core/load_queue.py
@@ -21,7 +21,7 @@
         Requests that wait there.
     since_s : float
         When the oldest began to wait, on this daemon's clock.
-    shortest_s, longest_s : float
+    first_deadline_s, longest_s : float
         First and last deadline among them, on this daemon's clock.
     heard_s : float
         When it last said so.
@@ -29,7 +29,7 @@
 
     waiters: int
     since_s: float
-    shortest_s: float
+    first_deadline_s: float
     longest_s: float
     heard_s: float
 
--- a/packages/core/src/knapweedbridge_core/loads.py
+++ b/packages/core/src/knapweedbridge_core/loads.py
@@ -165,11 +165,11 @@
         ahead = max(self._queue.ahead_of(wanted), len(self._under_way))
         ready_in_s = (ahead + 1) * max(1 / pool.loads_per_s, self._load_s)
         ready_in_s += self._failed.wait_s(model, now_s)
-        if now_s + ready_in_s <= demand.shortest_s:
+        if now_s + ready_in_s <= demand.first_deadline_s:
             return None
         if now_s + ready_in_s > demand.longest_s:
             self._queue.leave(model, host)
-        late_s = now_s + ready_in_s - demand.shortest_s
+        late_s = now_s + ready_in_s - demand.first_deadline_s
         return Refusal(model, ready_in_s, max(late_s, 1 / pool.loads_per_s))
 
     def loaded(self, model: AdapterVersion, now_s: float) -> None:
