--- a/packages/daemon/src/knapweedbridge_daemon/serving/placing.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/placing.py
@@ -42,7 +42,7 @@
 LOOK_S = 0.1
 """Pause between looks for an engine, where nothing changes."""
 
-WANT_AGAIN_S = 0.25
+LOAD_REQUEST_RETRY_S = 0.25
 """Pause after which an owner is asked again for an adapter that is not coming."""
 
 UNKNOWN_AFTER_S = 0.02
@@ -145,7 +145,7 @@
             pause_s = LOOK_S
             if isinstance(choice, WaitFor):
                 pause_s = choice.ready_s - now_s
-            elif isinstance(choice, LoadOn) and now_s - asked_s > WANT_AGAIN_S:
+            elif isinstance(choice, LoadOn) and now_s - asked_s > LOAD_REQUEST_RETRY_S:
                 asked_s = now_s
                 await self._want(call, choice.endpoint)
             if verdict.rank is None and now_s > self._patient_s(call):
--- a/packages/standins/src/knapweedbridge_standins/serving_load/daemon.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_load/daemon.py
@@ -23,10 +23,10 @@
 from knapweedbridge_daemon.serving.attempting import LOAD_RETRY_S
 from knapweedbridge_daemon.serving.engine_observations import EngineObservations
 from knapweedbridge_daemon.serving.placing import (
+    LOAD_REQUEST_RETRY_S,
     LOOK_S,
     MAX_WAIT_OBJECTIVES,
     UNKNOWN_AFTER_S,
-    WANT_AGAIN_S,
 )
 from knapweedbridge_daemon.serving.running_calls import JOIN_FAR_S, JOIN_S
 from knapweedbridge_standins.serving_load.attempt import ModelledAttempt
@@ -124,7 +124,7 @@
             self.pool.refused(call, over_s)
             return
         call.accepted = not isinstance(choice, NoEngine)
-        if isinstance(choice, LoadOn) and now_s - call.asked_s > WANT_AGAIN_S:
+        if isinstance(choice, LoadOn) and now_s - call.asked_s > LOAD_REQUEST_RETRY_S:
             call.asked_s = now_s
             choice.endpoint.record_owner_request(now_s)
             self._want(choice.endpoint.name, call.model)
--- a/packages/standins/src/knapweedbridge_standins/serving_load/overload_pool.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_load/overload_pool.py
@@ -20,9 +20,9 @@
 )
 from knapweedbridge_core.serving.placement_choices import Choice
 from knapweedbridge_daemon.serving.placing import (
+    LOAD_REQUEST_RETRY_S,
     LOOK_S,
     MAX_WAIT_OBJECTIVES,
-    WANT_AGAIN_S,
 )
 from knapweedbridge_standins.serving_load.attempt import ModelledAttempt
 from knapweedbridge_standins.serving_load.call import WAY_S
@@ -214,7 +214,7 @@
             self._refuse(call, 0.4)
             return
         call.accepted = not isinstance(choice, NoEngine)
-        if isinstance(choice, LoadOn) and now_s - call.asked_s > WANT_AGAIN_S:
+        if isinstance(choice, LoadOn) and now_s - call.asked_s > LOAD_REQUEST_RETRY_S:
             call.asked_s = now_s
             choice.endpoint.record_owner_request(now_s)
             self._want(choice.endpoint.name, call.model)
