--- a/packages/core/src/knapweedbridge_core/load_queue.py
+++ b/packages/core/src/knapweedbridge_core/load_queue.py
@@ -21,7 +21,7 @@
         Requests that wait there.
     since_s : float
         When the oldest began to wait, on this daemon's clock.
-    first_deadline_s, longest_s : float
+    first_deadline_s, last_deadline_s : float
         First and last deadline among them, on this daemon's clock.
     heard_s : float
         When it last said so.
@@ -30,7 +30,7 @@
     waiters: int
     since_s: float
     first_deadline_s: float
-    longest_s: float
+    last_deadline_s: float
     heard_s: float
 
 
@@ -151,7 +151,9 @@
 
     def expired(self, wanted: Wanted, now_s: float) -> bool:
         """Tell whether all that wait are past their deadlines."""
-        return all(demand.longest_s <= now_s for demand in wanted.demands.values())
+        return all(
+            demand.last_deadline_s <= now_s for demand in wanted.demands.values()
+        )
 
     def ahead_of(self, wanted: Wanted) -> int:
         """Count the adapter versions that are loaded before this one."""
--- a/packages/core/src/knapweedbridge_core/loads.py
+++ b/packages/core/src/knapweedbridge_core/loads.py
@@ -167,7 +167,7 @@
         ready_in_s += self._failed.wait_s(model, now_s)
         if now_s + ready_in_s <= demand.first_deadline_s:
             return None
-        if now_s + ready_in_s > demand.longest_s:
+        if now_s + ready_in_s > demand.last_deadline_s:
             self._queue.leave(model, host)
         late_s = now_s + ready_in_s - demand.first_deadline_s
         return Refusal(model, ready_in_s, max(late_s, 1 / pool.loads_per_s))
