--- a/packages/daemon/src/knapweedbridge_daemon/serving/placing.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/placing.py
@@ -39,7 +39,7 @@
 """How long a call waits for an engine, in objectives: its answer is late by then, and
 callers leave a silent stream after some seconds."""
 
-LOOK_S = 0.1
+POLL_INTERVAL_S = 0.1
 """Pause between looks for an engine, where nothing changes."""
 
 LOAD_REQUEST_RETRY_S = 0.25
@@ -142,7 +142,7 @@
                 self._records.sent(call, case, now_s)
                 return Target(choice.endpoint, choice.version)
             call.accepted = not isinstance(choice, NoEngine)
-            pause_s = LOOK_S
+            pause_s = POLL_INTERVAL_S
             if isinstance(choice, WaitFor):
                 pause_s = choice.ready_s - now_s
             elif isinstance(choice, LoadOn) and now_s - asked_s > LOAD_REQUEST_RETRY_S:
--- a/packages/standins/src/knapweedbridge_standins/serving_load/daemon.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_load/daemon.py
@@ -24,8 +24,8 @@
 from knapweedbridge_daemon.serving.engine_observations import EngineObservations
 from knapweedbridge_daemon.serving.placing import (
     LOAD_REQUEST_RETRY_S,
-    LOOK_S,
     MAX_WAIT_OBJECTIVES,
+    POLL_INTERVAL_S,
     UNKNOWN_AFTER_S,
 )
 from knapweedbridge_daemon.serving.running_calls import JOIN_FAR_S, JOIN_S
@@ -128,7 +128,7 @@
             call.asked_s = now_s
             choice.endpoint.record_owner_request(now_s)
             self._want(choice.endpoint.name, call.model)
-        pause_s = LOOK_S
+        pause_s = POLL_INTERVAL_S
         if isinstance(choice, WaitFor):
             pause_s = min(pause_s, max(0.001, choice.ready_s - now_s))
         self._wait(call, pause_s)
--- a/packages/standins/src/knapweedbridge_standins/serving_load/overload_pool.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_load/overload_pool.py
@@ -21,8 +21,8 @@
 from knapweedbridge_core.serving.placement_choices import Choice
 from knapweedbridge_daemon.serving.placing import (
     LOAD_REQUEST_RETRY_S,
-    LOOK_S,
     MAX_WAIT_OBJECTIVES,
+    POLL_INTERVAL_S,
 )
 from knapweedbridge_standins.serving_load.attempt import ModelledAttempt
 from knapweedbridge_standins.serving_load.call import WAY_S
@@ -218,7 +218,7 @@
             call.asked_s = now_s
             choice.endpoint.record_owner_request(now_s)
             self._want(choice.endpoint.name, call.model)
-        pause_s = LOOK_S
+        pause_s = POLL_INTERVAL_S
         if isinstance(choice, WaitFor):
             pause_s = min(pause_s, max(0.001, choice.ready_s - now_s))
         self._wait(call, pause_s)
