--- a/packages/core/src/knapweedbridge_core/load_queue.py
+++ b/packages/core/src/knapweedbridge_core/load_queue.py
@@ -23,7 +23,7 @@
         When the oldest began to wait, on this daemon's clock.
     first_deadline_s, last_deadline_s : float
         First and last deadline among them, on this daemon's clock.
-    heard_s : float
+    reported_s : float
         When it last said so.
     """
 
@@ -31,7 +31,7 @@
     since_s: float
     first_deadline_s: float
     last_deadline_s: float
-    heard_s: float
+    reported_s: float
 
 
 @dataclass(slots=True)
@@ -163,5 +163,5 @@
         """Drop what nobody repeated: its waiters are gone, or their daemon."""
         for model, wanted in list(self._wanted.items()):
             for host, demand in list(wanted.demands.items()):
-                if now_s - demand.heard_s > ASKER_SILENCE_S:
+                if now_s - demand.reported_s > ASKER_SILENCE_S:
                     self.leave(model, host)
--- a/packages/core/src/knapweedbridge_core/loads.py
+++ b/packages/core/src/knapweedbridge_core/loads.py
@@ -153,7 +153,7 @@
         pool : Pool
             The pool now.
         """
-        now_s = demand.heard_s
+        now_s = demand.reported_s
         if self._failed.rests(model, now_s):
             pause_s = self._failed.wait_s(model, now_s)
             return Refusal(model, math.inf, pause_s)
