--- a/packages/daemon/src/knapweedbridge_daemon/serving/placing.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/placing.py
@@ -45,7 +45,7 @@
 LOAD_REQUEST_RETRY_S = 0.25
 """Pause after which an owner is asked again for an adapter that is not coming."""
 
-UNKNOWN_AFTER_S = 0.02
+LOAD_STALE_AFTER_S = 0.02
 """Age of what is known of an engine's load in a large pool past which its owner is
 asked before a call goes there. What relays tell is up to half a second old, and all
 daemons are told the same: they sent their calls to the same few engines."""
@@ -206,7 +206,7 @@
         """Tell whether this daemon hears too little of an engine to send there."""
         if self._hub.cluster.is_small_pool:
             return False
-        return engine.owner != "" and now_s - engine.heard_s > UNKNOWN_AFTER_S
+        return engine.owner != "" and now_s - engine.heard_s > LOAD_STALE_AFTER_S
 
     @staticmethod
     def _patient_s(call: Call) -> float:
--- a/packages/standins/src/knapweedbridge_standins/serving_load/daemon.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_load/daemon.py
@@ -24,9 +24,9 @@
 from knapweedbridge_daemon.serving.engine_observations import EngineObservations
 from knapweedbridge_daemon.serving.placing import (
     LOAD_REQUEST_RETRY_S,
+    LOAD_STALE_AFTER_S,
     MAX_WAIT_OBJECTIVES,
     POLL_INTERVAL_S,
-    UNKNOWN_AFTER_S,
 )
 from knapweedbridge_daemon.serving.running_calls import JOIN_FAR_S, JOIN_S
 from knapweedbridge_standins.serving_load.attempt import ModelledAttempt
@@ -136,7 +136,7 @@
     def _must_ask(self, call: LoadCall, choice: SendTo, now_s: float) -> bool:
         if self.pool.small or call.questions >= QUESTIONS_MOST:
             return False
-        return now_s - choice.endpoint.heard_s > UNKNOWN_AFTER_S
+        return now_s - choice.endpoint.heard_s > LOAD_STALE_AFTER_S
 
     def _wait(self, call: LoadCall, pause_s: float) -> None:
         call.turn += 1
