--- a/packages/core/src/knapweedbridge_core/load_queue.py
+++ b/packages/core/src/knapweedbridge_core/load_queue.py
@@ -136,7 +136,7 @@
             self._sorted.discard(wanted)
         return wanted
 
-    def leave(self, model: AdapterVersion, host: str) -> None:
+    def withdraw(self, model: AdapterVersion, host: str) -> None:
         """Take back what one daemon asked for."""
         wanted = self._wanted.get(model)
         if wanted is None or host not in wanted.demands:
@@ -164,4 +164,4 @@
         for model, wanted in list(self._wanted.items()):
             for host, demand in list(wanted.demands.items()):
                 if now_s - demand.reported_s > ASKER_SILENCE_S:
-                    self.leave(model, host)
+                    self.withdraw(model, host)
--- a/packages/core/src/knapweedbridge_core/loads.py
+++ b/packages/core/src/knapweedbridge_core/loads.py
@@ -168,7 +168,7 @@
         if now_s + ready_in_s <= demand.first_deadline_s:
             return None
         if now_s + ready_in_s > demand.last_deadline_s:
-            self._queue.leave(model, host)
+            self._queue.withdraw(model, host)
         late_s = now_s + ready_in_s - demand.first_deadline_s
         return Refusal(model, ready_in_s, max(late_s, 1 / pool.loads_per_s))
 
