--- a/packages/core/src/knapweedbridge_core/load_queue.py
+++ b/packages/core/src/knapweedbridge_core/load_queue.py
@@ -149,7 +149,7 @@
         else:
             del self._wanted[model]
 
-    def expired(self, wanted: Wanted, now_s: float) -> bool:
+    def is_expired(self, wanted: Wanted, now_s: float) -> bool:
         """Tell whether all that wait are past their deadlines."""
         return all(
             demand.last_deadline_s <= now_s for demand in wanted.demands.values()
--- a/packages/core/src/knapweedbridge_core/loads.py
+++ b/packages/core/src/knapweedbridge_core/loads.py
@@ -293,7 +293,7 @@
     def _next_models(self, pool: Pool, now_s: float) -> Iterator[AdapterVersion]:
         for wanted in self._queue.first(MOST_TRIED):
             model = wanted.model
-            if pool.copies(model) or self._queue.expired(wanted, now_s):
+            if pool.copies(model) or self._queue.is_expired(wanted, now_s):
                 self._queue.remove(model)
                 continue
             if model in self._under_way or self._failed.wait_s(model, now_s) > 0:
