--- a/packages/core/src/knapweedbridge_core/load_queue.py
+++ b/packages/core/src/knapweedbridge_core/load_queue.py
@@ -159,7 +159,7 @@
         """Count the adapter versions that are loaded before this one."""
         return self._sorted.bisect_left(wanted)
 
-    def forget_silent(self, now_s: float) -> None:
+    def remove_silent(self, now_s: float) -> None:
         """Drop what nobody repeated: its waiters are gone, or their daemon."""
         for model, wanted in list(self._wanted.items()):
             for host, demand in list(wanted.demands.items()):
--- a/packages/core/src/knapweedbridge_core/loads.py
+++ b/packages/core/src/knapweedbridge_core/loads.py
@@ -356,7 +356,7 @@
         if now_s - self._kept_house_s < HOUSEKEEPING_S:
             return
         self._kept_house_s = now_s
-        self._queue.forget_silent(now_s)
+        self._queue.remove_silent(now_s)
         self._failed.forget_old(now_s)
         for model, load in list(self._under_way.items()):
             if now_s - load.since_s > LOAD_TIMEOUT_S:
