--- a/packages/core/src/knapweedbridge_core/failed_loads.py
+++ b/packages/core/src/knapweedbridge_core/failed_loads.py
@@ -14,7 +14,7 @@
 @dataclass(slots=True)
 class _Failures:
     count: int = 0
-    rests: int = 0
+    is_suspended: int = 0
     last_s: float = 0.0
     not_before_s: float = 0.0
     endpoints: set[str] = field(default_factory=set)
@@ -35,8 +35,8 @@
         if failures.count < MOST_FAILURES:
             pause_s = FIRST_BACKOFF_S * 2 ** (failures.count - 1)
         else:
-            pause_s = min(LONGEST_REST_S, FIRST_REST_S * 2**failures.rests)
-            failures.rests += 1
+            pause_s = min(LONGEST_REST_S, FIRST_REST_S * 2**failures.is_suspended)
+            failures.is_suspended += 1
             failures.count = MOST_FAILURES - 1
             failures.endpoints.clear()
         failures.not_before_s = now_s + pause_s
@@ -50,14 +50,16 @@
         failures = self._failures.get(model)
         return max(0.0, failures.not_before_s - now_s) if failures else 0.0
 
-    def rests(self, model: AdapterVersion, now_s: float) -> bool:
+    def is_suspended(self, model: AdapterVersion, now_s: float) -> bool:
         """Tell whether its waiters are to be refused."""
         failures = self._failures.get(model)
-        return bool(failures and failures.rests) and self.wait_s(model, now_s) > 0
+        return (
+            bool(failures and failures.is_suspended) and self.wait_s(model, now_s) > 0
+        )
 
     def resting(self, now_s: float) -> list[AdapterVersion]:
         """Return the versions whose waiters are to be refused."""
-        return [model for model in self._failures if self.rests(model, now_s)]
+        return [model for model in self._failures if self.is_suspended(model, now_s)]
 
     def avoid(self, model: AdapterVersion) -> set[str]:
         """Name the endpoints where it failed lately."""
--- a/packages/core/src/knapweedbridge_core/loads.py
+++ b/packages/core/src/knapweedbridge_core/loads.py
@@ -154,7 +154,7 @@
             The pool now.
         """
         now_s = demand.reported_s
-        if self._failed.rests(model, now_s):
+        if self._failed.is_suspended(model, now_s):
             pause_s = self._failed.wait_s(model, now_s)
             return Refusal(model, math.inf, pause_s)
         # It stays in the queue while it is under way: should the owner's answer
