--- a/packages/core/src/knapweedbridge_core/failed_loads.py
+++ b/packages/core/src/knapweedbridge_core/failed_loads.py
@@ -57,7 +57,7 @@
             bool(failures and failures.is_suspended) and self.wait_s(model, now_s) > 0
         )
 
-    def resting(self, now_s: float) -> list[AdapterVersion]:
+    def suspended(self, now_s: float) -> list[AdapterVersion]:
         """Return the versions whose waiters are to be refused."""
         return [model for model in self._failures if self.is_suspended(model, now_s)]
 
--- a/packages/core/src/knapweedbridge_core/loads.py
+++ b/packages/core/src/knapweedbridge_core/loads.py
@@ -226,7 +226,7 @@
     def given_up(self, now_s: float) -> list[tuple[str, Refusal]]:
         """Return the daemons to tell that a version fails again and again."""
         told = []
-        for model in self._failed.resting(now_s):
+        for model in self._failed.suspended(now_s):
             wanted = self._queue.remove(model)
             if wanted is None:
                 continue
