--- a/packages/core/src/knapweedbridge_core/failed_loads.py
+++ b/packages/core/src/knapweedbridge_core/failed_loads.py
@@ -61,7 +61,7 @@
         """Return the versions whose waiters are to be refused."""
         return [model for model in self._failures if self.is_suspended(model, now_s)]
 
-    def avoid(self, model: AdapterVersion) -> set[str]:
+    def failed_endpoints(self, model: AdapterVersion) -> set[str]:
         """Name the endpoints where it failed lately."""
         failures = self._failures.get(model)
         return failures.endpoints if failures else set()
--- a/packages/core/src/knapweedbridge_core/loads.py
+++ b/packages/core/src/knapweedbridge_core/loads.py
@@ -369,8 +369,10 @@
         self, model: AdapterVersion, pool: Pool, now_s: float
     ) -> LoadPlaced | None:
         options = self._options(model, pool, now_s)
-        avoid = self._failed.avoid(model)
-        elsewhere = [option for option in options if option.endpoint not in avoid]
+        failed_endpoints = self._failed.failed_endpoints(model)
+        elsewhere = [
+            option for option in options if option.endpoint not in failed_endpoints
+        ]
         chosen = self._slot_choice.choose(model, elsewhere or options)
         if chosen is None:
             return None
