--- a/packages/core/src/knapweedbridge_core/failed_loads.py
+++ b/packages/core/src/knapweedbridge_core/failed_loads.py
@@ -41,7 +41,7 @@
             failures.endpoints.clear()
         failures.not_before_s = now_s + pause_s
 
-    def succeeded(self, model: AdapterVersion) -> None:
+    def record_success(self, model: AdapterVersion) -> None:
         """Forget the failures of a version that loaded."""
         self._failures.pop(model, None)
 
--- a/packages/core/src/knapweedbridge_core/loads.py
+++ b/packages/core/src/knapweedbridge_core/loads.py
@@ -179,7 +179,7 @@
             took_s = now_s - load.since_s
             pace = LOAD_PACE if self._load_s else 1.0
             self._load_s += pace * (took_s - self._load_s)
-        self._failed.succeeded(model)
+        self._failed.record_success(model)
         self._queue.remove(model)
         self._slots.loaded(model, now_s)
 
