--- a/packages/core/src/knapweedbridge_core/load_rate.py
+++ b/packages/core/src/knapweedbridge_core/load_rate.py
@@ -15,7 +15,7 @@
 
     _next_s: float = float("-inf")
 
-    def allows(self, loads_per_s: float, now_s: float) -> bool:
+    def may_start(self, loads_per_s: float, now_s: float) -> bool:
         """Tell whether a load may start."""
         return now_s >= self._next_s - EARLY_LOADS / loads_per_s - 1e-9
 
--- a/packages/core/src/knapweedbridge_core/loads.py
+++ b/packages/core/src/knapweedbridge_core/loads.py
@@ -288,7 +288,7 @@
         moving = [
             load for load in self._under_way.values() if now_s - load.since_s < slow_s
         ]
-        return not moving and self._rate.allows(pool.loads_per_s, now_s)
+        return not moving and self._rate.may_start(pool.loads_per_s, now_s)
 
     def _next_models(self, pool: Pool, now_s: float) -> Iterator[AdapterVersion]:
         for wanted in self._queue.first(MOST_TRIED):
