--- a/packages/core/src/knapweedbridge_core/load_rate.py
+++ b/packages/core/src/knapweedbridge_core/load_rate.py
@@ -23,7 +23,7 @@
         """Note a start."""
         self._next_s = max(self._next_s, now_s) + 1 / loads_per_s
 
-    def returned(self, loads_per_s: float) -> None:
+    def record_unused(self, loads_per_s: float) -> None:
         """Note that a load permitted did not start."""
         self._next_s -= 1 / loads_per_s
 
--- a/packages/core/src/knapweedbridge_core/loads.py
+++ b/packages/core/src/knapweedbridge_core/loads.py
@@ -213,7 +213,7 @@
         load = self._under_way.pop(model, None)
         if load is None:
             return
-        self._rate.returned(loads_per_s)
+        self._rate.record_unused(loads_per_s)
         # The view learns only at the owner's next word why it declined: till
         # then the next choice must not be the same slot again.
         self._slots.pinned(load.endpoint, load.victim, now_s)
