--- a/bench/peer_messages.py
+++ b/bench/peer_messages.py
@@ -155,7 +155,7 @@
         for each in packed:
             reader.feed(each)
             for value in reader:
-                await link._take("h1", decode(value))
+                await link._dispatch("h1", decode(value))
 
     taken_us = await measure_us(take_all)
     told_orders = [each.update_order for each in link._hub.cluster.fleet.engines()]
--- a/features/plain/steps/counting_steps.py
+++ b/features/plain/steps/counting_steps.py
@@ -156,7 +156,7 @@
 
 def make_older(pool, keeper):
     """Have a daemon take no message that older versions do not know."""
-    daemon, take = pool.daemons[keeper], pool.daemons[keeper].link._take
+    daemon, take = pool.daemons[keeper], pool.daemons[keeper].link._dispatch
     for each in pool.daemons.values():
         each.link.plain._asking._understanding.pop(keeper, None)
         each.link.plain._asking._asked_not_before_s.pop(keeper, None)
--- a/features/serving/steps/late_news_steps.py
+++ b/features/serving/steps/late_news_steps.py
@@ -292,7 +292,7 @@
 
 async def tell_of(context, relay, since):
     told = StoreUpdate(since, since + 1, pack_items([]))
-    await context.daemon.link._take(relay, told)
+    await context.daemon.link._dispatch(relay, told)
 
 
 @when("relay h1 tells it of changes after {since:d}, and relay h3 {pause_s:g} s later")
--- a/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
@@ -105,7 +105,7 @@
         One whose version does not understand it is sent nothing.
         """
         if daemon == self._hub.identity.name:
-            await self._take(daemon, message)
+            await self._dispatch(daemon, message)
         elif not understands(self._hub.cluster.protocol_of(daemon), message):
             self._hub.metrics.count("messages_withheld")
         elif self._peers is not None:
@@ -149,11 +149,11 @@
 
     async def _submit(self, event: Any) -> None:
         if isinstance(event, PeerMessage):
-            await self._take(event.host, event.message)
+            await self._dispatch(event.host, event.message)
         elif isinstance(event, PeerDisconnected):
             self._hub.log.info("peer.unlinked", peer=event.host)
 
-    async def _take(self, daemon: str, message: Any) -> None:
+    async def _dispatch(self, daemon: str, message: Any) -> None:
         take = self._takers.get(type(message))
         if take is not None:
             await take(daemon, message)
--- a/packages/standins/src/knapweedbridge_standins/relay_pool/pool.py
+++ b/packages/standins/src/knapweedbridge_standins/relay_pool/pool.py
@@ -65,7 +65,7 @@
             self.link.relaying.record_store_changes,
         )
         self.link.on_store_update = self.follower.heard
-        wire.hear(record.name, self.link._take)
+        wire.hear(record.name, self.link._dispatch)
 
     @staticmethod
     def _make_hub(record: DaemonRecord, store: ListedStore) -> Hub:
