--- a/packages/core/src/knapweedbridge_core/operator_side.py
+++ b/packages/core/src/knapweedbridge_core/operator_side.py
@@ -13,13 +13,13 @@
 
     Parameters
     ----------
-    own_administration : str
+    administration_address : str
         Address of this daemon's administration API.
     """
 
-    def __init__(self, context: Context, own_administration: str) -> None:
+    def __init__(self, context: Context, administration_address: str) -> None:
         super().__init__(context)
-        self.own_administration = own_administration
+        self.administration_address = administration_address
         self.administration: dict[str, str] = {}
 
     def handlers(self) -> dict[type, Handler]:
@@ -31,7 +31,7 @@
         }
 
     def _peer_linked(self, event: events.PeerConnected) -> None:
-        introduction = messages.Introduction(self.own_administration)
+        introduction = messages.Introduction(self.administration_address)
         self._context.send(event.host, introduction)
 
     def _introduction(self, message: messages.Introduction) -> None:
--- a/packages/daemon/src/knapweedbridge_daemon/inventory.py
+++ b/packages/daemon/src/knapweedbridge_daemon/inventory.py
@@ -33,7 +33,7 @@
         "host": bridge.host,
         "version": VERSION,
         "data_centre": bridge.data_centre,
-        "administration": bridge.operators.own_administration,
+        "administration": bridge.operators.administration_address,
         "generation": bridge.configuration.generation,
         "configuration": bridge.distribution.status(),
         "draining": bridge.members.draining,
