--- a/packages/core/src/knapweedbridge_core/fault_messages.py
+++ b/packages/core/src/knapweedbridge_core/fault_messages.py
@@ -3,8 +3,8 @@
 from knapweedbridge_core.codec import message
 
 
-@message
-class BlameTold:
+@message(tag="BlameTold")
+class SuspectUpdate:
     """A daemon tells what it holds against a fingerprint."""
 
     fingerprint: str
--- a/packages/core/src/knapweedbridge_core/messages.py
+++ b/packages/core/src/knapweedbridge_core/messages.py
@@ -21,8 +21,8 @@
 )
 from knapweedbridge_core.fault_messages import (
     BlameCleared,
-    BlameTold,
     LeavingTold,
+    SuspectUpdate,
 )
 from knapweedbridge_core.grant_messages import (
     GrantGiven,
@@ -64,7 +64,7 @@
 
 __all__ = [
     "BlameCleared",
-    "BlameTold",
+    "SuspectUpdate",
     "ClaimAnswered",
     "ClaimAsk",
     "ClaimEndKept",
--- a/packages/core/src/knapweedbridge_core/suspect_side.py
+++ b/packages/core/src/knapweedbridge_core/suspect_side.py
@@ -50,7 +50,7 @@
             events.PeerConnected: self._peer_linked,
             events.AttemptResult: self._attempt_judged,
             events.EndpointProbed: self._probed,
-            messages.BlameTold: self._told,
+            messages.SuspectUpdate: self._told,
             messages.BlameCleared: self._cleared,
         }
 
@@ -120,14 +120,14 @@
     def _tell(
         self, fingerprint: str, loss_id: str, endpoint: str, state: LossState
     ) -> None:
-        told = messages.BlameTold(fingerprint, loss_id, endpoint, state.value, 0.0)
+        told = messages.SuspectUpdate(fingerprint, loss_id, endpoint, state.value, 0.0)
         self._context.broadcast(told)
         self._context.record(
             f"blame.{state.value}", fingerprint=fingerprint, endpoint=endpoint
         )
         self._context.emit(Count(f"blame.{state.value}"))
 
-    def _told(self, message: messages.BlameTold) -> None:
+    def _told(self, message: messages.SuspectUpdate) -> None:
         state = LossState(message.state)
         at_s = self._context.now_s - message.age_s
         if state is not LossState.WITHDRAWN:
@@ -148,7 +148,7 @@
     def _peer_linked(self, event: events.PeerConnected) -> None:
         for fingerprint, loss_id, loss in self.suspects.entries():
             age_s = self._context.now_s - loss.at_s
-            told = messages.BlameTold(
+            told = messages.SuspectUpdate(
                 fingerprint, loss_id, loss.endpoint, loss.state.value, age_s
             )
             self._context.send(event.host, told)
