--- a/packages/core/src/knapweedbridge_core/fault_messages.py
+++ b/packages/core/src/knapweedbridge_core/fault_messages.py
@@ -14,8 +14,8 @@
     age_s: float
 
 
-@message
-class BlameCleared:
+@message(tag="BlameCleared")
+class SuspectCleared:
     """A suspected request got its whole answer."""
 
     fingerprint: str
--- a/packages/core/src/knapweedbridge_core/messages.py
+++ b/packages/core/src/knapweedbridge_core/messages.py
@@ -20,8 +20,8 @@
     PartsRequest,
 )
 from knapweedbridge_core.fault_messages import (
-    BlameCleared,
     LeavingTold,
+    SuspectCleared,
     SuspectUpdate,
 )
 from knapweedbridge_core.grant_messages import (
@@ -63,7 +63,7 @@
 )
 
 __all__ = [
-    "BlameCleared",
+    "SuspectCleared",
     "SuspectUpdate",
     "ClaimAnswered",
     "ClaimAsk",
--- a/packages/core/src/knapweedbridge_core/suspect_side.py
+++ b/packages/core/src/knapweedbridge_core/suspect_side.py
@@ -51,7 +51,7 @@
             events.AttemptResult: self._attempt_judged,
             events.EndpointProbed: self._probed,
             messages.SuspectUpdate: self._told,
-            messages.BlameCleared: self._cleared,
+            messages.SuspectCleared: self._cleared,
         }
 
     def _tick(self, event: events.Tick) -> None:
@@ -67,7 +67,7 @@
     def _clear(self, fingerprint: str) -> None:
         if self.suspects.clear(fingerprint):
             self._context.record("blame.cleared", fingerprint=fingerprint)
-            self._context.broadcast(messages.BlameCleared(fingerprint))
+            self._context.broadcast(messages.SuspectCleared(fingerprint))
 
     def _suspect(self, request: events.Request, loss_id: str, endpoint: str) -> None:
         # An endpoint that said it was leaving ended on purpose.
@@ -142,7 +142,7 @@
         elif state is LossState.WITHDRAWN:
             self.suspects.withdraw(fingerprint, loss_id)
 
-    def _cleared(self, message: messages.BlameCleared) -> None:
+    def _cleared(self, message: messages.SuspectCleared) -> None:
         self.suspects.clear(message.fingerprint)
 
     def _peer_linked(self, event: events.PeerConnected) -> None:
