--- a/packages/core/src/knapweedbridge_core/claim_coordinator.py
+++ b/packages/core/src/knapweedbridge_core/claim_coordinator.py
@@ -62,11 +62,11 @@
             events.Tick: self._tick,
             events.ClaimsDue: self._due,
             events.StoreResponse: self._replied,
-            messages.ClaimAsk: self._asked,
+            messages.ClaimRequest: self._asked,
             messages.ClaimEnded: self._ended,
         }
 
-    def _asked(self, message: messages.ClaimAsk) -> None:
+    def _asked(self, message: messages.ClaimRequest) -> None:
         self._add(message.key, message.token, message.record, False)
 
     def _ended(self, message: messages.ClaimEnded) -> None:
--- a/packages/core/src/knapweedbridge_core/claim_messages.py
+++ b/packages/core/src/knapweedbridge_core/claim_messages.py
@@ -3,8 +3,8 @@
 from knapweedbridge_core.codec import message
 
 
-@message
-class ClaimAsk:
+@message(tag="ClaimAsk")
+class ClaimRequest:
     """A caller's daemon asks the claim keeper to make a claim."""
 
     key: str
--- a/packages/core/src/knapweedbridge_core/claimant_side.py
+++ b/packages/core/src/knapweedbridge_core/claimant_side.py
@@ -97,7 +97,9 @@
         record = ClaimRecord(
             claim.token, self._context.host, claim.request.fingerprint, ClaimState.OPEN
         )
-        asked = messages.ClaimAsk(claim_key(claim.request), claim.token, record.pack())
+        asked = messages.ClaimRequest(
+            claim_key(claim.request), claim.token, record.pack()
+        )
         self._tell_keeper(asked)
 
     def _tick(self, event: events.Tick) -> None:
--- a/packages/core/src/knapweedbridge_core/messages.py
+++ b/packages/core/src/knapweedbridge_core/messages.py
@@ -2,9 +2,9 @@
 
 from knapweedbridge_core.claim_messages import (
     ClaimAnswered,
-    ClaimAsk,
     ClaimEnded,
     ClaimEndKept,
+    ClaimRequest,
 )
 from knapweedbridge_core.codec import (
     MAX_MESSAGE_BYTES,
@@ -66,7 +66,7 @@
     "SuspectCleared",
     "SuspectUpdate",
     "ClaimAnswered",
-    "ClaimAsk",
+    "ClaimRequest",
     "ClaimEndKept",
     "ClaimEnded",
     "ConfigurationRequest",
