--- a/packages/core/src/knapweedbridge_core/claim_coordinator.py
+++ b/packages/core/src/knapweedbridge_core/claim_coordinator.py
@@ -173,5 +173,5 @@
             return
         if unpack_record(packed).state == ClaimState.RELEASED:
             return
-        answered = messages.ClaimAnswered(wish.token, packed)
+        answered = messages.ClaimResponse(wish.token, packed)
         self._context.send(wish.host, answered)
--- a/packages/core/src/knapweedbridge_core/claim_messages.py
+++ b/packages/core/src/knapweedbridge_core/claim_messages.py
@@ -12,8 +12,8 @@
     record: bytes
 
 
-@message
-class ClaimAnswered:
+@message(tag="ClaimAnswered")
+class ClaimResponse:
     """The record that stands; ours if it has the token asked with."""
 
     token: str
--- a/packages/core/src/knapweedbridge_core/claimant_side.py
+++ b/packages/core/src/knapweedbridge_core/claimant_side.py
@@ -53,7 +53,7 @@
         """See `Side.handlers`."""
         return {
             events.Tick: self._tick,
-            messages.ClaimAnswered: self._answered,
+            messages.ClaimResponse: self._answered,
             messages.ClaimEndKept: self._end_kept,
         }
 
@@ -119,7 +119,7 @@
                 ending.sent_s = now_s
                 self._tell_keeper(ending.message)
 
-    def _answered(self, message: messages.ClaimAnswered) -> None:
+    def _answered(self, message: messages.ClaimResponse) -> None:
         request_id = message.token.rpartition("/")[2]
         claim = self._claims.get(request_id)
         if claim is None or claim.token != message.token or claim.held:
--- a/packages/core/src/knapweedbridge_core/messages.py
+++ b/packages/core/src/knapweedbridge_core/messages.py
@@ -1,10 +1,10 @@
 """All messages between daemons, and their encoding in msgpack."""
 
 from knapweedbridge_core.claim_messages import (
-    ClaimAnswered,
     ClaimEnded,
     ClaimEndKept,
     ClaimRequest,
+    ClaimResponse,
 )
 from knapweedbridge_core.codec import (
     MAX_MESSAGE_BYTES,
@@ -65,7 +65,7 @@
 __all__ = [
     "SuspectCleared",
     "SuspectUpdate",
-    "ClaimAnswered",
+    "ClaimResponse",
     "ClaimRequest",
     "ClaimEndKept",
     "ClaimEnded",
