--- a/packages/core/src/knapweedbridge_core/claim_coordinator.py
+++ b/packages/core/src/knapweedbridge_core/claim_coordinator.py
@@ -169,7 +169,7 @@
 
     def _tell(self, wish: _Wish, packed: bytes) -> None:
         if wish.ends:
-            self._context.send(wish.host, messages.ClaimEndKept(wish.token))
+            self._context.send(wish.host, messages.ClaimEndStored(wish.token))
             return
         if unpack_record(packed).state == ClaimState.RELEASED:
             return
--- a/packages/core/src/knapweedbridge_core/claim_messages.py
+++ b/packages/core/src/knapweedbridge_core/claim_messages.py
@@ -29,8 +29,8 @@
     record: bytes
 
 
-@message
-class ClaimEndKept:
+@message(tag="ClaimEndKept")
+class ClaimEndStored:
     """The end of a claim is stored."""
 
     token: str
--- a/packages/core/src/knapweedbridge_core/claimant_side.py
+++ b/packages/core/src/knapweedbridge_core/claimant_side.py
@@ -54,7 +54,7 @@
         return {
             events.Tick: self._tick,
             messages.ClaimResponse: self._answered,
-            messages.ClaimEndKept: self._end_kept,
+            messages.ClaimEndStored: self._end_kept,
         }
 
     def begin(self, request: Request) -> None:
@@ -144,7 +144,7 @@
             member is not None and member.is_alive and member.incarnation <= incarnation
         )
 
-    def _end_kept(self, message: messages.ClaimEndKept) -> None:
+    def _end_kept(self, message: messages.ClaimEndStored) -> None:
         self._endings.pop(message.token, None)
 
 
--- a/packages/core/src/knapweedbridge_core/messages.py
+++ b/packages/core/src/knapweedbridge_core/messages.py
@@ -2,7 +2,7 @@
 
 from knapweedbridge_core.claim_messages import (
     ClaimEnded,
-    ClaimEndKept,
+    ClaimEndStored,
     ClaimRequest,
     ClaimResponse,
 )
@@ -67,7 +67,7 @@
     "SuspectUpdate",
     "ClaimResponse",
     "ClaimRequest",
-    "ClaimEndKept",
+    "ClaimEndStored",
     "ClaimEnded",
     "ConfigurationRequest",
     "ConfigurationDelta",
