--- a/packages/core/src/knapweedbridge_core/fault_messages.py
+++ b/packages/core/src/knapweedbridge_core/fault_messages.py
@@ -21,8 +21,8 @@
     fingerprint: str
 
 
-@message
-class LeavingTold:
+@message(tag="LeavingTold")
+class LeavingUpdate:
     """A daemon saw the sign that an endpoint leaves, or that it stays after all."""
 
     endpoint: str
--- a/packages/core/src/knapweedbridge_core/leaving_side.py
+++ b/packages/core/src/knapweedbridge_core/leaving_side.py
@@ -33,7 +33,7 @@
             events.EndpointProbed: self._probed,
             events.EndpointDrainRequested: self._drained,
             events.PeerConnected: self._peer_linked,
-            messages.LeavingTold: self._told,
+            messages.LeavingUpdate: self._told,
         }
 
     def _tick(self, event: events.Tick) -> None:
@@ -93,7 +93,7 @@
     def _stays(self, endpoint: str) -> None:
         if self._context.leaving.clear(endpoint):
             self._context.record("endpoint.stays", endpoint=endpoint)
-            told = messages.LeavingTold(endpoint, False, False)
+            told = messages.LeavingUpdate(endpoint, False, False)
             self._context.broadcast(told)
 
     def _check_slots(self, event: events.EndpointProbed) -> None:
@@ -111,7 +111,7 @@
         told_s = self._told_s.get(endpoint, -RETELL_S)
         if new or self._context.now_s - told_s >= RETELL_S:
             self._told_s[endpoint] = self._context.now_s
-            self._context.broadcast(messages.LeavingTold(endpoint, True, False))
+            self._context.broadcast(messages.LeavingUpdate(endpoint, True, False))
 
     def _note(self, endpoint: str, sign: Sign) -> bool:
         new = self._context.leaving.record(endpoint, sign, self._context.now_s)
@@ -121,7 +121,7 @@
 
     def _drained(self, event: events.EndpointDrainRequested) -> None:
         self._order(event.endpoint, event.drained)
-        told = messages.LeavingTold(event.endpoint, event.drained, True)
+        told = messages.LeavingUpdate(event.endpoint, event.drained, True)
         self._context.broadcast(told)
 
     def _order(self, endpoint: str, drained: bool) -> None:
@@ -130,7 +130,7 @@
         else:
             self._context.leaving.clear(endpoint, ordered=True)
 
-    def _told(self, message: messages.LeavingTold) -> None:
+    def _told(self, message: messages.LeavingUpdate) -> None:
         if message.ordered:
             self._order(message.endpoint, message.leaving)
         elif message.leaving:
@@ -142,5 +142,5 @@
         for endpoint, sign in self._context.leaving.signs():
             ordered = sign is Sign.ORDERED
             self._context.send(
-                event.host, messages.LeavingTold(endpoint, True, ordered)
+                event.host, messages.LeavingUpdate(endpoint, True, ordered)
             )
--- a/packages/core/src/knapweedbridge_core/messages.py
+++ b/packages/core/src/knapweedbridge_core/messages.py
@@ -20,7 +20,7 @@
     PartsRequest,
 )
 from knapweedbridge_core.fault_messages import (
-    LeavingTold,
+    LeavingUpdate,
     SuspectCleared,
     SuspectUpdate,
 )
@@ -85,7 +85,7 @@
     "HandOver",
     "Heartbeat",
     "Introduction",
-    "LeavingTold",
+    "LeavingUpdate",
     "LoadEnded",
     "LoadFailed",
     "LoadPlaced",
