--- a/packages/core/src/knapweedbridge_core/load_rate.py
+++ b/packages/core/src/knapweedbridge_core/load_rate.py
@@ -19,7 +19,7 @@
         """Tell whether a load may start."""
         return now_s >= self._next_s - EARLY_LOADS / loads_per_s - 1e-9
 
-    def started(self, loads_per_s: float, now_s: float) -> None:
+    def record_start(self, loads_per_s: float, now_s: float) -> None:
         """Note a start."""
         self._next_s = max(self._next_s, now_s) + 1 / loads_per_s
 
--- a/packages/core/src/knapweedbridge_core/loads.py
+++ b/packages/core/src/knapweedbridge_core/loads.py
@@ -245,7 +245,7 @@
             return None
         load = _UnderWay(placed.endpoint, placed.victim, now_s)
         self._under_way[placed.model] = load
-        self._rate.started(pool.loads_per_s, now_s)
+        self._rate.record_start(pool.loads_per_s, now_s)
         return placed
 
     def _next_placed(self, pool: Pool, now_s: float) -> LoadPlaced | None:
