--- a/packages/core/src/knapweedbridge_core/load_queue.py
+++ b/packages/core/src/knapweedbridge_core/load_queue.py
@@ -119,7 +119,7 @@
         """Return what waits for an adapter version."""
         return self._wanted.get(model)
 
-    def ask(self, model: AdapterVersion, host: str, demand: DaemonDemand) -> Wanted:
+    def update(self, model: AdapterVersion, host: str, demand: DaemonDemand) -> Wanted:
         """Note what a daemon's callers wait for; a repeat replaces."""
         wanted = self._wanted.setdefault(model, Wanted(model))
         if wanted.demands:
--- a/packages/core/src/knapweedbridge_core/loads.py
+++ b/packages/core/src/knapweedbridge_core/loads.py
@@ -159,7 +159,7 @@
             return Refusal(model, math.inf, pause_s)
         # It stays in the queue while it is under way: should the owner's answer
         # be lost, the waiters are still known.
-        wanted = self._queue.ask(model, host, demand)
+        wanted = self._queue.update(model, host, demand)
         if model in self._under_way or not self._policy.refuse_late:
             return None
         ahead = max(self._queue.ahead_of(wanted), len(self._under_way))
