--- a/features/limits/steps/pool_steps.py
+++ b/features/limits/steps/pool_steps.py
@@ -64,7 +64,7 @@
     answer = ResponseDetails(
         False, True, False, endpoint=endpoint, limit_per_s=limit_per_s
     )
-    await daemon.link.signs.take(endpoint_of(daemon), answer, sent_s)
+    await daemon.link.backpressure.take(endpoint_of(daemon), answer, sent_s)
 
 
 @when("one of them hears that an endpoint takes 1 call a second")
--- a/packages/daemon/src/knapweedbridge_daemon/serving/attempting.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/attempting.py
@@ -193,7 +193,7 @@
             if not connection.forwarder:
                 self._hub.paths.linked_s = loop_time_s()
             proved = self._hub.dialects.endpoints.read_response(answer)
-            await self._link.signs.take(target.endpoint, proved, forecast.sent_s)
+            await self._link.backpressure.take(target.endpoint, proved, forecast.sent_s)
             if proved.not_run:
                 async for _ in connection.read_body():
                     pass
--- a/packages/daemon/src/knapweedbridge_daemon/serving/engine_owner.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/engine_owner.py
@@ -83,7 +83,7 @@
         Sends a message to a daemon.
     permits : Permits
         Lets orders go to a limited engine.
-    signs : BackpressureRecorder
+    backpressure : BackpressureRecorder
         Takes what the engine asks for in its answers to orders.
     """
 
@@ -95,10 +95,10 @@
         record: OwnerRecord,
         send: Send,
         permits: Permits,
-        signs: BackpressureRecorder,
+        backpressure: BackpressureRecorder,
     ) -> None:
         self._permits = permits
-        self._signs = signs
+        self._signs = backpressure
         self._hub = hub
         self.endpoint = endpoint
         self._record = record
--- a/packages/daemon/src/knapweedbridge_daemon/serving/engine_owners.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/engine_owners.py
@@ -45,17 +45,17 @@
         Sends a message to a daemon, this one too.
     permits : Permits
         Lets orders go to limited engines.
-    signs : BackpressureRecorder
+    backpressure : BackpressureRecorder
         Takes what engines ask for in their answers to orders.
     """
 
     def __init__(
-        self, hub: Hub, send: Send, permits: Permits, signs: BackpressureRecorder
+        self, hub: Hub, send: Send, permits: Permits, backpressure: BackpressureRecorder
     ) -> None:
         self._hub = hub
         self._send = send
         self._permits = permits
-        self._signs = signs
+        self._signs = backpressure
         self._owned: dict[str, EngineOwner] = {}
         self._given_up: dict[str, int] = {}
 
--- a/packages/standins/src/knapweedbridge_standins/serving_histories/limits.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_histories/limits.py
@@ -144,7 +144,7 @@
         if daemon.name in self._down:
             return
         answer = ResponseDetails(False, True, False, limit_per_s=limited.limit_per_s)
-        await daemon.link.signs.take(endpoint, answer, now_s)
+        await daemon.link.backpressure.take(endpoint, answer, now_s)
         if limited.limit_per_s is not None:
             limited.told_s.setdefault(daemon.name, anyio.current_time())
 
