--- a/features/serving/steps/pool_size_steps.py
+++ b/features/serving/steps/pool_size_steps.py
@@ -72,7 +72,7 @@
 
     async def story():
         follower = StoreFollower(hub, None, None, lambda *changes: None)
-        follower._revision, follower._small = 7, False
+        follower._revision, follower._was_small_pool = 7, False
         # By the event loop's clock, 17 daemons were listed that long ago.
         shift_s = anyio.current_time() - NOW_S
         context.cluster._large_until_s += shift_s
--- a/packages/daemon/src/knapweedbridge_daemon/serving/store_follower.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/store_follower.py
@@ -89,7 +89,7 @@
         self._era = 0
         self._settled_s = 0.0
         self._missing: set[str] = set()
-        self._small = True
+        self._was_small_pool = True
 
     def restart_watch(self) -> None:
         """End the watch that waits: its connection may have gone silent."""
@@ -161,11 +161,11 @@
         """Note whether all daemons hear all, which also changes by time alone."""
         cluster = self._hub.cluster
         cluster.update_clock(anyio.current_time())
-        if cluster.is_small_pool != self._small:
-            self._small = cluster.is_small_pool
+        if cluster.is_small_pool != self._was_small_pool:
+            self._was_small_pool = cluster.is_small_pool
             self._hub.log.info(
                 "pool.changed",
-                small=self._small,
+                small=self._was_small_pool,
                 daemons=len(cluster.daemons),
                 endpoints=len(cluster.fleet.endpoints),
             )
