--- a/packages/daemon/src/knapweedbridge_daemon/serving/engine_owner.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/engine_owner.py
@@ -98,7 +98,7 @@
         backpressure: BackpressureRecorder,
     ) -> None:
         self._permits = permits
-        self._signs = backpressure
+        self._backpressure = backpressure
         self._hub = hub
         self.endpoint = endpoint
         self._record = record
@@ -332,7 +332,9 @@
         try:
             head, body = await self._exchange(request, ORDER_ANSWER_S)
             answer, status = dialect.read_order_answer(head, body), head.status
-            await self._signs.take(self.endpoint, dialect.read_response(head), sent_s)
+            await self._backpressure.take(
+                self.endpoint, dialect.read_response(head), sent_s
+            )
         except NotSentError:
             answer = OrderAnswer.REFUSED
         except (ConnectionBrokenError, TimeoutError):
--- a/packages/daemon/src/knapweedbridge_daemon/serving/engine_owners.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/engine_owners.py
@@ -55,7 +55,7 @@
         self._hub = hub
         self._send = send
         self._permits = permits
-        self._signs = backpressure
+        self._backpressure = backpressure
         self._owned: dict[str, EngineOwner] = {}
         self._given_up: dict[str, int] = {}
 
@@ -110,7 +110,7 @@
                 record,
                 self._send,
                 self._permits,
-                self._signs,
+                self._backpressure,
             )
             self._owned[name] = owner
             tasks.start_soon(owner.run)
