--- a/packages/daemon/src/knapweedbridge_daemon/serving/update_relay.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/update_relay.py
@@ -5,7 +5,7 @@
 nothing of the other engines, and took them to run what it ran itself times the daemons:
 with five calls of its own sixteen each, so callers were refused by engines that idled.
 
-A relay joins what comes within `RELAY_S` into one message a hearer. Its hearers are the
+A relay joins what comes within `RELAY_INTERVAL_S` into one message a hearer. Its hearers are the
 daemons of its data centre for which hashing chooses it, and for some seconds those that
 asked it, or marked at it, because theirs is silent or proves nothing.
 """
@@ -28,7 +28,7 @@
 from knapweedbridge_daemon.serving.store_update_codec import pack_engines, pack_items
 from knapweedbridge_daemon.store import StoreItem
 
-RELAY_S = 0.2
+RELAY_INTERVAL_S = 0.2
 """Pause between messages to hearers. What they say steers which owner is asked before a
 call is sent, and where adapters are held or coming."""
 
@@ -133,7 +133,7 @@
     async def run(self) -> None:
         """Tell the hearers until cancelled."""
         while True:
-            await anyio.sleep(RELAY_S)
+            await anyio.sleep(RELAY_INTERVAL_S)
             self._note_role(self.is_relay)
             if self._was_relay:
                 await self.tell(anyio.current_time())
--- a/packages/standins/src/knapweedbridge_standins/serving_load/relay.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_load/relay.py
@@ -4,7 +4,7 @@
 from typing import TYPE_CHECKING
 
 from knapweedbridge_core.serving.messages import EngineDelta, EngineSnapshot
-from knapweedbridge_daemon.serving.update_relay import RELAY_S
+from knapweedbridge_daemon.serving.update_relay import RELAY_INTERVAL_S
 from knapweedbridge_standins.serving_load.call import WAY_S
 
 if TYPE_CHECKING:
@@ -27,7 +27,7 @@
         self._rows.append(message)
         if not self._woken:
             self._woken = True
-            self._pool.clock.after(RELAY_S, self._hand_on)
+            self._pool.clock.after(RELAY_INTERVAL_S, self._hand_on)
 
     def _hand_on(self) -> None:
         self._woken = False
