--- a/packages/daemon/src/knapweedbridge_daemon/serving/engine_owner.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/engine_owner.py
@@ -52,7 +52,7 @@
 and 190 of 3,650 calls were refused for it."""
 
 REPORT_TIMEOUT_S = 0.5
-REPORT_PAUSE_S = 0.3
+REPORT_INTERVAL_S = 0.3
 """Pause between reports that are asked for: they are some 200 ms old, and priced."""
 
 WORK_S = 1.0
@@ -238,7 +238,7 @@
         small = self._hub.cluster.is_small_pool
         pause_s = WORK_S if small else IDLE_UPDATE_INTERVAL_S
         if self.controller.needs_report:
-            pause_s = REPORT_PAUSE_S
+            pause_s = REPORT_INTERVAL_S
         elif self.controller.wants:
             pause_s = LOAD_UPDATE_INTERVAL_S if self._updates.has_changes else 0.05
         if self._updates.has_changes:
@@ -252,7 +252,10 @@
             return
         now_s = anyio.current_time()
         self.controller.forget_silent(now_s)
-        if self.controller.needs_report and now_s - self._reported_s >= REPORT_PAUSE_S:
+        if (
+            self.controller.needs_report
+            and now_s - self._reported_s >= REPORT_INTERVAL_S
+        ):
             self._reported_s = now_s
             await self._ask_report()
             now_s = anyio.current_time()
--- a/packages/standins/src/knapweedbridge_standins/serving_load/owner.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_load/owner.py
@@ -21,7 +21,7 @@
     IDLE_UPDATE_INTERVAL_S,
     LOAD_UPDATE_INTERVAL_S,
 )
-from knapweedbridge_daemon.serving.engine_owner import REPORT_PAUSE_S
+from knapweedbridge_daemon.serving.engine_owner import REPORT_INTERVAL_S
 from knapweedbridge_standins.serving_load.call import WAY_S
 
 if TYPE_CHECKING:
@@ -133,7 +133,7 @@
     def work(self) -> None:
         """Order and tell what is due."""
         now_s = self._pool.clock.now_s
-        if self.keeper.needs_report and now_s - self._reported_s >= REPORT_PAUSE_S:
+        if self.keeper.needs_report and now_s - self._reported_s >= REPORT_INTERVAL_S:
             self._reported_s = now_s
             self.keeper.apply_report(self._pool.engines[self._name].report(), now_s)
             self._updates.mark_adapters_changed()
