--- a/features/serving/steps/kept_view_steps.py
+++ b/features/serving/steps/kept_view_steps.py
@@ -221,7 +221,7 @@
             EngineReport(0, ("m",), {}, {}), anyio.current_time()
         )
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(owner._work_on)
+            tasks.start_soon(owner._run_passes)
             await anyio.sleep(0.02)
             owner.passes = 0
             for n in range(30):
--- a/packages/daemon/src/knapweedbridge_daemon/serving/engine_owner.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/engine_owner.py
@@ -182,9 +182,9 @@
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(self.turns.run)
                 await self._learn()
-                await self._work_on()
+                await self._run_passes()
 
-    async def _work_on(self) -> None:
+    async def _run_passes(self) -> None:
         while True:
             self._work.clear()
             await self._step()
