--- a/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
@@ -261,7 +261,7 @@
             self._relays_asked_s[relay] = now_s
             await self.send(relay, message)
 
-    async def ask_load(self, endpoint: Endpoint) -> None:
+    async def request_load(self, endpoint: Endpoint) -> None:
         """Ask an engine's owner how much runs there, where that is not known."""
         if endpoint.owner:
             await self._ask(endpoint, endpoint.owner, ASK_LOAD_S)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/placing.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/placing.py
@@ -134,7 +134,7 @@
             choice, call.overdue_rank = verdict.choice, verdict.rank
             if isinstance(choice, SendTo):
                 if now_s < known_by_s and self._is_unknown(choice.endpoint, now_s):
-                    await self._link.ask_load(choice.endpoint)
+                    await self._link.request_load(choice.endpoint)
                     await self._hub.engines_changed.wait(known_by_s - now_s)
                     continue
                 if choice.copy_to is not None:
