--- a/packages/daemon/src/knapweedbridge_daemon/serving/host.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/host.py
@@ -143,7 +143,7 @@
         link = PeerLink(hub, round(self._settings.get("limits", "tunnels")))
         follower = StoreFollower(
             hub,
-            link.ask_relay,
+            link.subscribe,
             link.crashes.record_unlisted,
             link.relaying.record_store_changes,
         )
--- a/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
@@ -243,9 +243,9 @@
             elif not self._take_change(row, now_s):
                 missed = missed or self._hub.cluster.fleet.has_gap_before(row)
         if missed:
-            await self.ask_relay(relay)
+            await self.subscribe(relay)
 
-    async def ask_relay(self, relay: str) -> None:
+    async def subscribe(self, relay: str) -> None:
         """Ask a relay for all that it knows, and to be told from then on."""
         await self._ask_relay(relay, RelayRequest())
 
--- a/packages/daemon/src/knapweedbridge_daemon/serving/store_follower.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/store_follower.py
@@ -58,7 +58,7 @@
     ----------
     hub : Hub
         What it keeps up to date.
-    ask_relay : callable
+    subscribe : callable
         Asks another daemon to be this one's relay.
     on_gone : callable
         Takes the name of each endpoint that is listed no more.
@@ -68,10 +68,10 @@
     """
 
     def __init__(
-        self, hub: Hub, ask_relay: AskRelay, on_gone: OnGone, on_changes: OnChanges
+        self, hub: Hub, subscribe: AskRelay, on_gone: OnGone, on_changes: OnChanges
     ) -> None:
         self._hub = hub
-        self._ask_relay = ask_relay
+        self._ask_relay = subscribe
         self._on_gone = on_gone
         self._on_changes = on_changes
         self._gone: list[str] = []
--- a/packages/standins/src/knapweedbridge_standins/relay_pool/pool.py
+++ b/packages/standins/src/knapweedbridge_standins/relay_pool/pool.py
@@ -60,7 +60,7 @@
         self.link._peers = WirePeers(wire, record.name)  # type: ignore[assignment]
         self.follower = StoreFollower(
             self.hub,
-            self.link.ask_relay,
+            self.link.subscribe,
             self.link.crashes.record_unlisted,
             self.link.relaying.record_store_changes,
         )
