--- a/packages/daemon/src/knapweedbridge_daemon/serving/permits.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/permits.py
@@ -72,7 +72,7 @@
         self._relaying = relaying
         self._tickets = itertools.count(1)
         self._questions: dict[int, Question] = {}
-        self._pacers: dict[str, PermitBucket] = {}
+        self._buckets: dict[str, PermitBucket] = {}
         self._rooms: dict[str, RejectionBudget] = {}
 
     async def take(self, endpoint: Endpoint, is_order: bool = False) -> bool:
@@ -262,23 +262,23 @@
             await self._send(daemon, answer)
 
     def _pacer(self, endpoint: Endpoint, now_s: float) -> PermitBucket:
-        pacer = self._pacers.get(endpoint.name)
+        pacer = self._buckets.get(endpoint.name)
         if pacer is None:
             self._forget_others()
             # Whoever kept the endpoint before may give permits for a moment yet.
-            pacer = self._pacers[endpoint.name] = PermitBucket(now_s + TAKE_OVER_S)
+            pacer = self._buckets[endpoint.name] = PermitBucket(now_s + TAKE_OVER_S)
         return pacer
 
     def _forget_others(self) -> None:
         """Drop the pacers of endpoints that are gone or have another keeper."""
         fleet = self._hub.cluster.fleet
-        for name in {*self._pacers, *self._rooms}:
+        for name in {*self._buckets, *self._rooms}:
             endpoint = fleet.endpoints.get(name)
             if (
                 endpoint is None
                 or self._coordinator(endpoint) != self._hub.identity.name
             ):
-                self._pacers.pop(name, None)
+                self._buckets.pop(name, None)
                 self._rooms.pop(name, None)
 
     async def _tell_all(
--- a/packages/standins/src/knapweedbridge_standins/serving_histories/limits.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_histories/limits.py
@@ -100,7 +100,7 @@
         self._pool.wire.cut.add(name)
         self._pool.unlist_daemon(name)
         await anyio.sleep(DOWN_S)
-        daemon.link.permits._pacers.clear()
+        daemon.link.permits._buckets.clear()
         for endpoint in daemon.hub.cluster.fleet.engines():
             endpoint.pressure = Backpressure()
         for limited in self._endpoints:
