--- a/packages/daemon/src/knapweedbridge_daemon/serving/running_calls.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/running_calls.py
@@ -10,7 +10,7 @@
 from knapweedbridge_daemon.serving.engine_observations import EngineObservations
 from knapweedbridge_daemon.serving.hub import Hub, Send
 
-JOIN_S = 0.003
+BATCH_WINDOW_S = 0.003
 """Pause in which changes share one message; an adapter is not unloaded within 50 ms
 of its last use, so that word of a new call is in time."""
 
@@ -127,7 +127,7 @@
             Whether it is told at once in a large pool too.
         """
         urgent = soon or self._hub.cluster.is_small_pool
-        due_s = anyio.current_time() + (JOIN_S if urgent else JOIN_FAR_S)
+        due_s = anyio.current_time() + (BATCH_WINDOW_S if urgent else JOIN_FAR_S)
         if due_s < self._due_s.get(start, math.inf):
             self._due_s[start] = due_s
             self._wake.set()
