--- a/packages/daemon/src/knapweedbridge_daemon/serving/running_calls.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/running_calls.py
@@ -18,7 +18,7 @@
 """How long a call that was broken off still counts: such calls run 1 to 2 s, and an
 engine that unloads an adapter in use takes no other order until the last has ended."""
 
-JOIN_FAR_S = 0.05
+LARGE_POOL_BATCH_WINDOW_S = 0.05
 """The same in a large pool for what is less urgent, that a prompt was read or a call
 ended: a prompt takes as long, so most of what an owner counts as unread still is."""
 
@@ -127,7 +127,9 @@
             Whether it is told at once in a large pool too.
         """
         urgent = soon or self._hub.cluster.is_small_pool
-        due_s = anyio.current_time() + (BATCH_WINDOW_S if urgent else JOIN_FAR_S)
+        due_s = anyio.current_time() + (
+            BATCH_WINDOW_S if urgent else LARGE_POOL_BATCH_WINDOW_S
+        )
         if due_s < self._due_s.get(start, math.inf):
             self._due_s[start] = due_s
             self._wake.set()
--- a/packages/standins/src/knapweedbridge_standins/serving_load/daemon.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_load/daemon.py
@@ -28,7 +28,10 @@
     MAX_WAIT_OBJECTIVES,
     POLL_INTERVAL_S,
 )
-from knapweedbridge_daemon.serving.running_calls import BATCH_WINDOW_S, JOIN_FAR_S
+from knapweedbridge_daemon.serving.running_calls import (
+    BATCH_WINDOW_S,
+    LARGE_POOL_BATCH_WINDOW_S,
+)
 from knapweedbridge_standins.serving_load.attempt import ModelledAttempt
 from knapweedbridge_standins.serving_load.call import WAY_S, LoadCall
 
@@ -221,7 +224,9 @@
         if engine in self._due:
             return
         self._due.add(engine)
-        pause_s = BATCH_WINDOW_S if soon or self.pool.small else JOIN_FAR_S
+        pause_s = (
+            BATCH_WINDOW_S if soon or self.pool.small else LARGE_POOL_BATCH_WINDOW_S
+        )
         self.pool.clock.after(pause_s, lambda: self._tell_now(engine))
 
     def _tell_now(self, engine: str) -> None:
