--- a/features/backpressure/pressure_calls.py
+++ b/features/backpressure/pressure_calls.py
@@ -15,12 +15,12 @@
 async def call_service(path, endpoint, number, daemons, answers):
     if endpoint in path.engines:
         model = MODELS[number % len(MODELS)]
-        answers.append(await draft_until_taken(path, model, number % daemons))
+        answers.append(await retry_draft(path, model, number % daemons))
     else:
         answers.append(await path.call("GET", "/look/1", number % daemons))
 
 
-async def draft_until_taken(path, model, daemon):
+async def retry_draft(path, model, daemon):
     answer = await path.draft(model, daemon)
     while answer.status_code == 503:
         await anyio.sleep(float(answer.headers["Retry-After"]))
--- a/features/versions/steps/observed_steps.py
+++ b/features/versions/steps/observed_steps.py
@@ -2,7 +2,7 @@
 
 import anyio
 from behave import then, when
-from pressure_calls import draft_until_taken, metrics
+from pressure_calls import metrics, retry_draft
 from stories import played
 
 SUPERSEDED_COUNT = re.compile(
@@ -13,11 +13,11 @@
 @when("a call runs on a new adapter {when} a version of it is named")
 @played()
 async def call_runs(context, path, when):
-    await draft_until_taken(path, "base/a1", 0)
+    await retry_draft(path, "base/a1", 0)
     if when != "before":
         path.name_version("a1", 2)
         await anyio.sleep(float(when.split()[0]))
-        await draft_until_taken(path, "base/a1", 0)
+        await retry_draft(path, "base/a1", 0)
     context.metrics = await metrics(path)
 
 
--- a/features/versions/steps/version_steps.py
+++ b/features/versions/steps/version_steps.py
@@ -1,6 +1,6 @@
 import anyio
 from behave import given, then, when
-from pressure_calls import draft_until_taken
+from pressure_calls import retry_draft
 from stories import played
 from whole_path import configuration
 
@@ -11,7 +11,7 @@
 
 async def load_on_one(path):
     """Load the adapter on one engine, and prefer it by moving the other one away."""
-    await draft_until_taken(path, MODEL, 0)
+    await retry_draft(path, MODEL, 0)
     (holder,) = (each for each in path.engines if each.begun)
     (other,) = (each for each in path.engines if each is not holder)
     other.zone = "hall-b"
@@ -105,7 +105,7 @@
     holder, _ = await load_on_one(path)
     path.name_version(ADAPTER, 2)
     await anyio.sleep(after)
-    await draft_until_taken(path, MODEL, 0)
+    await retry_draft(path, MODEL, 0)
     begun = sorted(each for engine in path.engines for each in engine.begun)
     context.version = begun[-1][2]
 
