--- a/features/backpressure/pressure_calls.py
+++ b/features/backpressure/pressure_calls.py
@@ -28,7 +28,7 @@
     return answer
 
 
-async def call_for(path, endpoint, per_s, seconds, daemons, answers):
+async def call_repeatedly(path, endpoint, per_s, seconds, daemons, answers):
     async with anyio.create_task_group() as tasks:
         for number in range(int(per_s * seconds)):
             tasks.start_soon(call_service, path, endpoint, number, daemons, answers)
--- a/features/backpressure/steps/pause_steps.py
+++ b/features/backpressure/steps/pause_steps.py
@@ -3,7 +3,7 @@
 import anyio
 from behave import then, when
 from path_steps import is_whole
-from pressure_calls import call_for, named
+from pressure_calls import call_repeatedly, named
 from stories import played
 
 from knapweedbridge_daemon.serving.turns import Turns
@@ -17,14 +17,14 @@
 @played(lease_ms=10000)
 async def leaves_by_answers(context, path, name, trouble, seconds):
     endpoint, context.answers = named(path, name), []
-    await call_for(path, endpoint, CALLS_PER_S, 1, 1, [])
+    await call_repeatedly(path, endpoint, CALLS_PER_S, 1, 1, [])
     path.store.down = trouble == "the store is away"
     endpoint.leaves = True
     began_s = anyio.current_time()
     async with anyio.create_task_group() as tasks:
         if not path.store.down:
             tasks.start_soon(say_ready, path, endpoint)
-        await call_for(path, endpoint, CALLS_PER_S, seconds, 1, context.answers)
+        await call_repeatedly(path, endpoint, CALLS_PER_S, seconds, 1, context.answers)
         tasks.cancel_scope.cancel()
     context.arrivals_s = [each for each in endpoint.arrivals_s if each >= began_s]
 
@@ -112,10 +112,10 @@
 @played(lease_ms=3000)
 async def turns_away(context, path, name, rest, seconds):
     endpoint, context.answers = named(path, name), []
-    await call_for(path, endpoint, CALLS_PER_S, 1, 1, [])
+    await call_repeatedly(path, endpoint, CALLS_PER_S, 1, 1, [])
     endpoint.retry_after_s = context.retry_after_s = rest
     began_s = anyio.current_time()
-    await call_for(path, endpoint, CALLS_PER_S, seconds, 1, context.answers)
+    await call_repeatedly(path, endpoint, CALLS_PER_S, seconds, 1, context.answers)
     context.arrivals_s = [each for each in endpoint.arrivals_s if each >= began_s]
 
 
--- a/features/limits/steps/limit_steps.py
+++ b/features/limits/steps/limit_steps.py
@@ -1,6 +1,6 @@
 import anyio
 from behave import then, when
-from pressure_calls import call_for, call_service, metrics, named
+from pressure_calls import call_repeatedly, call_service, metrics, named
 from stories import played
 
 CONTACT_S = 3.0
@@ -18,7 +18,7 @@
     for limit_per_s in (limit, None):
         for each in others:
             each.limit_per_s = limit_per_s
-        await call_for(path, endpoint, 5, 2, 1, [])
+        await call_repeatedly(path, endpoint, 5, 2, 1, [])
     with anyio.move_on_after(8):
         while NONE_LIMITED not in await metrics(path):
             # Several at once, as one at a time would all go to one endpoint.
@@ -55,10 +55,12 @@
 async def names_limit(context, path, name, limit, calls, seconds):
     endpoint = named(path, name)
     # Each daemon has had answers of all endpoints before.
-    await call_for(path, endpoint, 20, 1, context.daemons, [])
+    await call_repeatedly(path, endpoint, 20, 1, context.daemons, [])
     endpoint.limit_per_s, context.limit_per_s = limit, limit
     context.named_s, context.answers = anyio.current_time(), []
-    await call_for(path, endpoint, calls, seconds, context.daemons, context.answers)
+    await call_repeatedly(
+        path, endpoint, calls, seconds, context.daemons, context.answers
+    )
     context.ended_s = anyio.current_time()
     context.arrivals_s = endpoint.arrivals_s
 
