--- a/features/backpressure/pressure_calls.py
+++ b/features/backpressure/pressure_calls.py
@@ -8,7 +8,7 @@
 MODELS = ("base/a1", "base/a2", "base/a3", "base/a4")
 
 
-def named(path, name):
+def find_endpoint(path, name):
     return next(each for each in path.endpoints if each.name == name)
 
 
--- a/features/backpressure/steps/brittle_steps.py
+++ b/features/backpressure/steps/brittle_steps.py
@@ -1,6 +1,6 @@
 import anyio
 from behave import given, then, when
-from pressure_calls import MODELS, metrics, named
+from pressure_calls import MODELS, find_endpoint, metrics
 from stories import played
 
 from knapweedbridge_core.serving import RejectionBudget
@@ -27,7 +27,7 @@
 )
 @played(lease_ms=10000)
 async def many_calls(context, path, name, bears, per_s):
-    endpoint = named(path, name)
+    endpoint = find_endpoint(path, name)
     is_engine = endpoint in path.engines
     context.service = path.engines if is_engine else path.desks
     for each in context.service:
--- a/features/backpressure/steps/pause_steps.py
+++ b/features/backpressure/steps/pause_steps.py
@@ -3,7 +3,7 @@
 import anyio
 from behave import then, when
 from path_steps import is_whole
-from pressure_calls import call_repeatedly, named
+from pressure_calls import call_repeatedly, find_endpoint
 from stories import played
 
 from knapweedbridge_daemon.serving.turns import Turns
@@ -16,7 +16,7 @@
 @when("{name} leaves by its answers while {trouble}, and calls come for {seconds:g} s")
 @played(lease_ms=10000)
 async def leaves_by_answers(context, path, name, trouble, seconds):
-    endpoint, context.answers = named(path, name), []
+    endpoint, context.answers = find_endpoint(path, name), []
     await call_repeatedly(path, endpoint, CALLS_PER_S, 1, 1, [])
     path.store.down = trouble == "the store is away"
     endpoint.leaves = True
@@ -57,7 +57,7 @@
         engine.requests.clear()
     with mock.patch.object(Turns, "take", take):
         response = await path.draft("base/a1")
-    return response, named(path, marked[0])
+    return response, find_endpoint(path, marked[0])
 
 
 @when("a draft waits for its turn at an engine that then leaves")
@@ -111,7 +111,7 @@
 )
 @played(lease_ms=3000)
 async def turns_away(context, path, name, rest, seconds):
-    endpoint, context.answers = named(path, name), []
+    endpoint, context.answers = find_endpoint(path, name), []
     await call_repeatedly(path, endpoint, CALLS_PER_S, 1, 1, [])
     endpoint.retry_after_s = context.retry_after_s = rest
     began_s = anyio.current_time()
--- a/features/limits/steps/limit_steps.py
+++ b/features/limits/steps/limit_steps.py
@@ -1,6 +1,6 @@
 import anyio
 from behave import then, when
-from pressure_calls import call_repeatedly, call_service, metrics, named
+from pressure_calls import call_repeatedly, call_service, find_endpoint, metrics
 from stories import played
 
 CONTACT_S = 3.0
@@ -13,7 +13,7 @@
 @when("{name} names a limit of {limit:g} a second, and calls come until it names none")
 @played()
 async def names_for_a_while(context, path, name, limit):
-    endpoint = named(path, name)
+    endpoint = find_endpoint(path, name)
     others = [each for each in path.endpoints if each.service == endpoint.service]
     for limit_per_s in (limit, None):
         for each in others:
@@ -53,7 +53,7 @@
 )
 @played(lease_ms=3000)
 async def names_limit(context, path, name, limit, calls, seconds):
-    endpoint = named(path, name)
+    endpoint = find_endpoint(path, name)
     # Each daemon has had answers of all endpoints before.
     await call_repeatedly(path, endpoint, 20, 1, context.daemons, [])
     endpoint.limit_per_s, context.limit_per_s = limit, limit
--- a/features/paths/steps/silence_steps.py
+++ b/features/paths/steps/silence_steps.py
@@ -2,7 +2,7 @@
 import httpx
 from behave import then, when
 from cut_steps import FirstTries, linked
-from pressure_calls import named
+from pressure_calls import find_endpoint
 from stories import WRITTEN_S
 
 SILENT_S = 1.2
@@ -12,7 +12,7 @@
 @when("{name} is silent for 1.2 s while drafts run and calls come")
 @linked
 async def falls_silent(context, path, links, name):
-    endpoint = named(path, name)
+    endpoint = find_endpoint(path, name)
     context.tries, context.drafts, context.endpoint = FirstTries(), [], endpoint
     await context.tries.call_for(path, context.daemons, 1.0)
     for engine in path.engines:
