--- a/features/serving/steps/relay_steps.py
+++ b/features/serving/steps/relay_steps.py
@@ -95,10 +95,10 @@
     context.relaying = UpdateRelay(hub_of(context.cluster, context.relay), send)
 
 
-async def tell(context, now_s, clear=True):
+async def send_updates(context, now_s, clear=True):
     if clear:
         context.sent.clear()
-    await context.relaying.tell(now_s)
+    await context.relaying.send_updates(now_s)
 
 
 async def owner_tells(context, message):
@@ -119,7 +119,7 @@
     """Bring the relay to where all its hearers were told all."""
     context.relaying.record_store_changes(6, 7, [], anyio.current_time())
     now_s = await owner_tells(context, told(1, of_all=True))
-    await tell(context, now_s)
+    await send_updates(context, now_s)
     return now_s
 
 
@@ -132,7 +132,7 @@
 def relay_is_told_more(context):
     async def story():
         await settle(context)
-        await tell(context, await owner_tells(context, changed(2)))
+        await send_updates(context, await owner_tells(context, changed(2)))
 
     anyio.run(story)
 
@@ -140,7 +140,7 @@
 @when("nothing comes")
 def nothing_comes(context):
     async def story():
-        await tell(context, await settle(context) + 0.2)
+        await send_updates(context, await settle(context) + 0.2)
 
     anyio.run(story)
 
@@ -148,7 +148,7 @@
 @when("nothing comes for 0.5 s")
 def nothing_for_long(context):
     async def story():
-        await tell(context, await settle(context) + 0.5)
+        await send_updates(context, await settle(context) + 0.5)
 
     anyio.run(story)
 
@@ -158,7 +158,7 @@
     async def story():
         now_s = await settle(context)
         context.relaying.record_store_changes(7, 8, [HOST], anyio.current_time())
-        await tell(context, now_s + 0.2)
+        await send_updates(context, now_s + 0.2)
 
     anyio.run(story)
 
@@ -171,7 +171,7 @@
             context.cluster.daemons.values(), "d1", context.relays[1], context.relays
         )
         await context.relaying.record_relay_request(others[0], RelayRequest())
-        await tell(context, now_s + 0.2)
+        await send_updates(context, now_s + 0.2)
 
     anyio.run(story)
 
@@ -209,7 +209,7 @@
     async def story():
         now_s = await settle(context)
         await owner_tells(context, changed(2))
-        await tell(context, now_s + 3.0)
+        await send_updates(context, now_s + 3.0)
 
     anyio.run(story)
 
--- a/packages/daemon/src/knapweedbridge_daemon/serving/update_relay.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/update_relay.py
@@ -136,7 +136,7 @@
             await anyio.sleep(RELAY_INTERVAL_S)
             self._note_role(self.is_relay)
             if self._was_relay:
-                await self.tell(anyio.current_time())
+                await self.send_updates(anyio.current_time())
             else:
                 self._forget()
 
@@ -154,7 +154,7 @@
         self._log.clear()
         self._missed_after.clear()
 
-    async def tell(self, now_s: float) -> None:
+    async def send_updates(self, now_s: float) -> None:
         """Tell the hearers what came since they were told last."""
         news = self._items or self._rows
         wanted = self._subscribers(now_s)
