--- a/features/serving/steps/relay_steps.py
+++ b/features/serving/steps/relay_steps.py
@@ -222,7 +222,7 @@
     follower = StoreFollower(hub, None, None, lambda *changes: None)
     follower._revision = 7
     follower.heard(context.relay, message)
-    assert not follower._told.is_set()
+    assert not follower._update_received.is_set()
     assert follower._revision == 7
 
 
--- a/features/serving/steps/store_steps.py
+++ b/features/serving/steps/store_steps.py
@@ -63,4 +63,4 @@
 @then("it is at revision {revision:d}, and has heard: {heard}")
 def at_revision(context, revision, heard):
     assert context.follower._revision == revision, context.follower._revision
-    assert context.follower._told.is_set() == (heard == "yes")
+    assert context.follower._update_received.is_set() == (heard == "yes")
--- a/packages/daemon/src/knapweedbridge_daemon/serving/store_follower.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/store_follower.py
@@ -80,7 +80,7 @@
         self._revision = 0
         self._lost_revision = 0
         self._known: set[str] = set()
-        self._told = anyio.Event()
+        self._update_received = anyio.Event()
         self._heard_from = ""
         self._source = ""
         self._trouble = ""
@@ -128,7 +128,7 @@
         if self._trouble and not self._is_old():
             self._trouble = ""
             self._hub.log.info("relay.heard", relay=relay, revision=self._revision)
-        self._told.set()
+        self._update_received.set()
         return 0
 
     def _is_new(self, item: StoreItem) -> bool:
@@ -182,13 +182,13 @@
         stopped, or came of a relay that the store did not answer. The proved age shows
         both, whatever lies between the store and this daemon.
         """
-        self._told = anyio.Event()
+        self._update_received = anyio.Event()
         stale_in_s = self._hub.store_age.stale_in_s(self._hub.steady_s())
         with anyio.move_on_after(min(SILENCE_S, stale_in_s)):
-            await self._told.wait()
+            await self._update_received.wait()
         if self._is_old():
             self._note_trouble("relay.late")
-        elif not self._told.is_set():
+        elif not self._update_received.is_set():
             # This daemon's relay is gone or cut off, or a telling was missed.
             self._note_trouble("relay.silent")
             await self._ask_others()
