--- a/features/crashes/crashes.feature
+++ b/features/crashes/crashes.feature
@@ -1,12 +1,12 @@
-Feature: A request that crashes endpoints is refused, and innocent ones are not
+Feature: A request that crashes endpoints is refused, and harmless ones are not
 
-  Scenario Outline: A deadly <kind> request <body> ends two endpoints, each then <how>
-    Guards against requests that come again by any host and go on ending endpoints.
+  Scenario Outline: A fatal <kind> request <body> crashes two endpoints, each then <how>
+    Guards against requests that are repeated at any host and crash further endpoints.
 
     Given the whole path with 3 daemons
-    When a "<kind>" request "<body>" crashes each endpoint that runs it, and comes by all hosts in turn
-      | what is there then | comes |
-      | <how>              | 8     |
+    When a "<kind>" request "<body>" crashes each endpoint that runs it, and is sent to all hosts in turn
+      | state after a crash | requests |
+      | <how>               | 8        |
     Then at most <lost> endpoints are lost, and the last 3 times it is refused
     And the same request of another caller is served
 
@@ -30,11 +30,11 @@
       | note  | with a body  | silent  | 3    |
       | note  | with a body  | same id | 2    |
 
-  Scenario Outline: A deadly <kind> request of a caller whose address changes
-    Guards against callers behind several addresses, whose requests count as different ones.
+  Scenario Outline: A fatal <kind> request of a caller whose address changes
+    Guards against requests of one caller that count as different because its address changes.
 
     Given the whole path with 3 daemons
-    When a "<kind>" request without body crashes each endpoint that runs it, and comes by another address each time
+    When a "<kind>" request without body crashes each endpoint that runs it, and is sent from another address each time
     Then at most 3 endpoints are lost, and the last 3 times it is refused
 
     Examples:
@@ -43,44 +43,44 @@
       | order |
       | note  |
 
-  Scenario Outline: A host that <was> when the others learned of a deadly request refuses it
-    Guards against hosts that go on passing on what the others refuse.
+  Scenario Outline: A host that <was> when the others learned of a fatal request refuses it
+    Guards against hosts that still forward what the others refuse.
 
     Given the whole path with 3 daemons
-    When a deadly look-up ends two endpoints by two hosts, and the third <was> then
-    Then it is refused by all hosts within 1 s of their readiness, and ends no further endpoint
+    When a fatal look-up sent to two hosts crashes two endpoints, and the third <was> then
+    Then it is refused by all hosts within 1 s of their readiness, and crashes no further endpoint
 
     Examples:
       | was                 |
       | was not started     |
-      | started again       |
-      | heard no other host |
+      | was restarted       |
+      | received no message |
 
-  Scenario: A deadly request is refused after all hosts have started again
-    Guards against blame that ends with the processes which learned of it.
+  Scenario: A fatal request is refused after all hosts were restarted
+    Guards against refusals that are lost with the processes that decided on them.
 
     Given the whole path with 3 daemons
-    When a deadly look-up ends two endpoints, and all hosts start again
-    Then it is refused by all hosts within 1 s of their readiness, and ends no further endpoint
+    When a fatal look-up crashes two endpoints, and all hosts are restarted
+    Then it is refused by all hosts within 1 s of their readiness, and crashes no further endpoint
 
-  Scenario: A call that is left after a silence of 2.3 s costs its host nothing
-    Guards against daemons that end by an error as they probe an endpoint that was silent.
+  Scenario: A call whose caller disconnects after 2.3 s of silence causes no error
+    Guards against daemons that fail when they probe an endpoint that was silent.
 
     Given the whole path with 3 daemons
-    When a caller leaves a silent endpoint after 2.3 s
-    Then its host serves on, and has counted no error of its own
+    When a caller disconnects from a silent endpoint after 2.3 s
+    Then its host keeps serving, and has logged no internal error
 
-  Scenario: Several deadly requests side by side end two endpoints each at most
-    Guards against blame that counts for one request at a time.
+  Scenario: Several fatal requests at a time crash two endpoints each at most
+    Guards against suspicion of one request at a time only.
 
     Given the whole path with 3 daemons
-    When 2 deadly look-ups of several callers come by all hosts in turn
+    When 2 fatal look-ups of several callers are sent to all hosts in turn
     Then at most 4 endpoints are lost, and each of them is refused in the end
 
-  Scenario: Innocent requests beside a deadly one are served
-    Guards against blame of what runs beside a deadly request.
+  Scenario: Harmless requests beside a fatal one are served
+    Guards against refusals of requests that run beside a fatal one.
 
     Given the whole path with 3 daemons
-    When a deadly look-up comes by all hosts in turn beside 120 innocent look-ups
+    When a fatal look-up is sent to all hosts in turn beside 120 harmless look-ups
     Then at most 2 endpoints are lost
-    And of the innocent look-ups at most 2 are not served, neither at once nor when they come again
+    And of the harmless look-ups at most 2 are not served, neither at once nor when they are repeated
--- a/features/crashes/crashing.py
+++ b/features/crashes/crashing.py
@@ -1,4 +1,4 @@
-"""Endpoints that a deadly request crashes, and callers who send one again and again."""
+"""Endpoints that a fatal request crashes, and callers who repeat such requests."""
 
 import anyio
 import httpx
@@ -6,84 +6,84 @@
 
 CRASHES_AFTER_S = 0.02
 DOWN_S = 0.4
-"""How long an endpoint that is started again is down."""
+"""Downtime of a crashed endpoint before its restart."""
 
 UNLISTED_AFTER_S = 0.8
-"""How long the entry of an endpoint that ended stays."""
+"""How long the entry of a crashed endpoint stays listed."""
 
-COMES_AGAIN_S = 0.2
-DEADLY = b"deadly"
+RETRY_INTERVAL_S = 0.2
+FATAL = b"deadly"
 """User agent of the caller whose requests crash endpoints."""
 
 
-def is_deadly(request):
+def is_fatal(request):
     """Return whether a request is from the caller whose requests crash endpoints."""
-    return (b"User-Agent", DEADLY) in request.head.headers
+    return (b"User-Agent", FATAL) in request.head.headers
 
 
 class Crashing:
-    """Mixed into a stand-in of an endpoint: a deadly request ends it.
+    """Mixin for stand-ins of endpoints, which a fatal request crashes.
 
     Parameters
     ----------
     pool : CrashingPool
-        Starts it again.
+        Restarts the endpoint.
     """
 
     pool = None
-    is_dark = False
+    is_frozen = False
 
     def __init__(self, *names):
         super().__init__(*names)
-        self._runs = set()
+        self._scopes = set()
 
     async def handle(self, request, responder):
         with anyio.CancelScope() as scope:
-            self._runs.add(scope)
+            self._scopes.add(scope)
             try:
-                if not self.is_dark:
+                if not self.is_frozen:
                     await super().handle(request, responder)
             finally:
-                self._runs.discard(scope)
-        if self.is_dark:
+                self._scopes.discard(scope)
+        if self.is_frozen:
             await anyio.sleep_forever()
 
     async def answer(self, request, responder, behaviour):
         is_own = header(request, "Expect-Instance") in (None, self.name)
-        if is_own and is_deadly(request) and self._would_run(request):
+        if is_own and is_fatal(request) and self._would_serve(request):
             await anyio.sleep(CRASHES_AFTER_S)
             self.pool.crash(self)
             await anyio.sleep_forever()
         await super().answer(request, responder, behaviour)
 
-    def _would_run(self, request):
+    def _would_serve(self, request):
         return not isinstance(self, Engine) or self._holds(request)
 
-    def go_dark(self):
-        """Answer nothing more, on connections that stay open."""
-        self.is_dark = True
-        for scope in list(self._runs):
+    def freeze(self):
+        """Stop responding, on connections that stay open."""
+        self.is_frozen = True
+        for scope in list(self._scopes):
             scope.cancel()
 
 
 class CrashingEndpoint(Crashing, Endpoint):
-    """A plain endpoint that a deadly request ends."""
+    """A plain endpoint that a fatal request crashes."""
 
 
 class CrashingEngine(Crashing, Engine):
-    """An engine that a deadly request ends."""
+    """An engine that a fatal request crashes."""
 
 
 class CrashingPool:
-    """The endpoints of a path, which crash and are started again.
+    """The endpoints of a path, which crash and are restarted.
 
     Parameters
     ----------
     path : WholePath
-        Whose endpoints they replace.
+        The path whose endpoints crash.
     how : str
-        What is there once one has crashed: ``refuses`` connections, is ``silent``, or
-        comes back at once under a ``new id`` or the ``same id``.
+        State after a crash: the address ``refuses`` connections, is ``silent``, or is
+        taken at once by an endpoint with a ``new id`` or the ``same id``.
     """
 
     def __init__(self, path, how):
@@ -94,14 +94,14 @@
             each.pool = self
 
     def crash(self, endpoint):
-        """End an endpoint, and have it started again."""
+        """Crash an endpoint, and schedule its restart."""
         if endpoint not in self._path.endpoints:
             return
         self.lost_s.append(anyio.current_time())
         kind = self._path.desks if endpoint in self._path.desks else self._path.engines
         kind.remove(endpoint)
         if self._how == "silent":
-            endpoint.go_dark()
+            endpoint.freeze()
         else:
             endpoint.crash()
         self._path.tasks.start_soon(self._restart, endpoint, kind)
@@ -126,26 +126,28 @@
 
 
 async def send(
-    path, kind, daemon, agent=DEADLY, caller="127.0.0.1", body=b"", deadline_ms=1200
+    path, kind, daemon, agent=FATAL, caller="127.0.0.1", body=b"", deadline_ms=1200
 ):
-    """Make a call as one caller; return its status, or 0 without an answer."""
+    """Make a call; return its status, or 0 without a response."""
     headers = {"Deadline-Ms": str(deadline_ms), "User-Agent": agent.decode()}
     if kind in ("draft", "note"):
         headers |= {"Model": "base/a1", "Token-Counts": "100,30"}
     method = "POST" if body or kind in ("draft", "note") else "GET"
-    asked = f"/{kind}/of-one-caller"
+    path_name = f"/{kind}/of-one-caller"
     try:
-        answer = await path.call(method, asked, daemon, headers, caller, content=body)
+        answer = await path.call(
+            method, path_name, daemon, headers, caller, content=body
+        )
     except httpx.HTTPError:
         return 0
     return answer.status_code
 
 
-async def come_again(path, kind, hosts, times, body, callers=("127.0.0.1",)):
-    """Send a deadly request to hosts in turn, by some addresses in turn."""
+async def send_repeatedly(path, kind, hosts, times, body, callers=("127.0.0.1",)):
+    """Send a fatal request to some hosts in turn, from some addresses in turn."""
     statuses = []
     for number in range(times):
         host, caller = hosts[number % len(hosts)], callers[number % len(callers)]
         statuses.append(await send(path, kind, host, caller=caller, body=body))
-        await anyio.sleep(COMES_AGAIN_S)
+        await anyio.sleep(RETRY_INTERVAL_S)
     return statuses
--- a/features/crashes/steps/crash_steps.py
+++ b/features/crashes/steps/crash_steps.py
@@ -2,29 +2,29 @@
 import path_steps  # noqa: F401
 from behave import then, when
 from crashing import (
-    DEADLY,
+    FATAL,
     UNLISTED_AFTER_S,
     CrashingEndpoint,
     CrashingEngine,
     CrashingPool,
-    come_again,
     send,
+    send_repeatedly,
 )
 from stories import WRITTEN_S, played
 from whole_path import WholePath
 
 from knapweedbridge_daemon.serving.crash_watch import CrashWatch
 
-BODY = b"a body that is long enough to be known again"
+BODY = b"a body that is long enough to be recognized"
 BODIES = {"with a body": BODY, "without body": b""}
-LEARNT_S = 1.0
-"""Time within which a host that is ready, and reaches the store, knows what it says."""
+REFUSAL_KNOWN_S = 1.0
+"""Time in which a ready host knows the refusals in the store."""
 
-INNOCENT = b"innocent"
+HARMLESS = b"innocent"
 
 
 class CrashingPath(WholePath):
-    """A whole path whose endpoints a deadly request ends."""
+    """A whole path whose endpoints a fatal request crashes."""
 
     plain_kind = CrashingEndpoint
     engine_kind = CrashingEngine
@@ -34,36 +34,38 @@
 
 
 @when(
-    'a "{kind}" request "{body}" crashes each endpoint that runs it, and comes by all '
-    "hosts in turn"
+    'a "{kind}" request "{body}" crashes each endpoint that runs it, and is sent to '
+    "all hosts in turn"
 )
 @crashing
-async def comes_in_turn(context, path, kind, body):
+async def sent_in_turn(context, path, kind, body):
     how, times = context.table[0]
     if kind in ("draft", "note"):
-        # Its adapter is loaded, so that it begins at once.
-        assert await send(path, "draft", 0, INNOCENT, body=BODY) == 200
+        # Loads the adapter, so that the fatal request starts at once.
+        assert await send(path, "draft", 0, HARMLESS, body=BODY) == 200
     context.pool = CrashingPool(path, how)
     hosts = range(context.daemons)
-    context.statuses = await come_again(path, kind, hosts, int(times), BODIES[body])
+    context.statuses = await send_repeatedly(
+        path, kind, hosts, int(times), BODIES[body]
+    )
     await anyio.sleep(UNLISTED_AFTER_S)
     context.others = [
-        await send(path, kind, host, INNOCENT, "127.0.0.2", BODIES[body])
+        await send(path, kind, host, HARMLESS, "127.0.0.2", BODIES[body])
         for host in hosts
     ]
 
 
 @when(
-    'a "{kind}" request without body crashes each endpoint that runs it, and comes by '
-    "another address each time"
+    'a "{kind}" request without body crashes each endpoint that runs it, and is sent '
+    "from another address each time"
 )
 @crashing
-async def comes_by_addresses(context, path, kind):
+async def sent_from_addresses(context, path, kind):
     if kind == "note":
-        assert await send(path, "draft", 0, INNOCENT, body=BODY) == 200
+        assert await send(path, "draft", 0, HARMLESS, body=BODY) == 200
     context.pool = CrashingPool(path, "refuses")
     callers = [f"127.0.0.{number}" for number in range(20, 30)]
-    context.statuses = await come_again(
+    context.statuses = await send_repeatedly(
         path, kind, range(context.daemons), 10, b"", callers
     )
 
@@ -79,57 +81,59 @@
     assert set(context.others) == {200}, context.others
 
 
-async def end_two(context, path, hosts):
-    """Have a deadly look-up end two endpoints by some hosts."""
+async def crash_two(context, path, hosts):
+    """Crash two endpoints by a fatal look-up that is sent to some hosts."""
     context.pool = CrashingPool(path, "refuses")
     with anyio.fail_after(6):
         while len(context.pool.lost_s) < 2:
-            await come_again(path, "look", hosts, 1, b"")
-    # Until the endpoints are back and the hosts know that.
+            await send_repeatedly(path, "look", hosts, 1, b"")
+    # Waits until the endpoints are back and the hosts know that.
     await anyio.sleep(2 * UNLISTED_AFTER_S)
 
 
 async def ask_all(context, path, hosts):
-    """Record how each host answers the deadly look-up, and whether it ends more."""
+    """Record how each host answers the fatal look-up, and what else it crashes."""
     before = len(context.pool.lost_s)
-    await anyio.sleep(LEARNT_S)
-    context.statuses = await come_again(path, "look", hosts, 2 * len(hosts), b"")
+    await anyio.sleep(REFUSAL_KNOWN_S)
+    context.statuses = await send_repeatedly(path, "look", hosts, 2 * len(hosts), b"")
     context.more = len(context.pool.lost_s) - before
 
 
-@when("a deadly look-up ends two endpoints by two hosts, and the third {was} then")
+@when(
+    "a fatal look-up sent to two hosts crashes two endpoints, and the third {was} then"
+)
 @crashing
 async def third_host(context, path, was):
     hosts = list(range(context.daemons))
     if was == "was not started":
         await path.kill_daemon("host-2")
-    if was == "heard no other host":
+    if was == "received no message":
         handle = CrashWatch.handle
 
-        async def hear_nothing(link, daemon, message):
+        async def drop_messages(link, daemon, message):
             if link._hub.identity.name != "host-2":
                 await handle(link, daemon, message)
 
-        CrashWatch.handle = hear_nothing
-        # A daemon that runs has its handlers already.
+        CrashWatch.handle = drop_messages
+        # A running daemon has bound its handlers already.
         await path.restart_daemon("host-2")
         await path.until_ready(2)
     try:
-        await end_two(context, path, hosts[:2])
-        if was != "heard no other host":
+        await crash_two(context, path, hosts[:2])
+        if was != "received no message":
             await path.restart_daemon("host-2")
             await path.until_ready(2)
         await ask_all(context, path, hosts)
     finally:
-        if was == "heard no other host":
+        if was == "received no message":
             CrashWatch.handle = handle
 
 
-@when("a deadly look-up ends two endpoints, and all hosts start again")
+@when("a fatal look-up crashes two endpoints, and all hosts are restarted")
 @crashing
-async def all_start_again(context, path):
+async def all_restarted(context, path):
     hosts = list(range(context.daemons))
-    await end_two(context, path, hosts)
+    await crash_two(context, path, hosts)
     for host in hosts:
         await path.restart_daemon(f"host-{host}")
     for host in hosts:
@@ -138,7 +142,7 @@
 
 
 @then(
-    "it is refused by all hosts within 1 s of their readiness, and ends no further "
+    "it is refused by all hosts within 1 s of their readiness, and crashes no further "
     "endpoint"
 )
 def refused_by_all(context):
@@ -146,9 +150,9 @@
     assert not context.more, context.more
 
 
-@when("{count:d} deadly look-ups of several callers come by all hosts in turn")
+@when("{count:d} fatal look-ups of several callers are sent to all hosts in turn")
 @crashing
-async def several_deadly(context, path, count):
+async def several_fatal(context, path, count):
     context.pool = CrashingPool(path, "refuses")
     context.statuses = {}
 
@@ -156,7 +160,7 @@
         statuses = context.statuses[number] = []
         for turn in range(10):
             host, caller = (number + turn) % context.daemons, f"127.0.0.{number + 3}"
-            statuses.append(await send(path, "look", host, DEADLY, caller))
+            statuses.append(await send(path, "look", host, FATAL, caller))
             await anyio.sleep(0.5)
 
     async with anyio.create_task_group() as tasks:
@@ -172,10 +176,10 @@
 
 
 @when(
-    "a deadly look-up comes by all hosts in turn beside {innocent:d} innocent look-ups"
+    "a fatal look-up is sent to all hosts in turn beside {harmless:d} harmless look-ups"
 )
 @crashing
-async def beside_innocent(context, path, innocent):
+async def beside_harmless(context, path, harmless):
     context.pool = CrashingPool(path, "refuses")
     for each in path.desks:
         each.work_s = 0.03
@@ -183,20 +187,20 @@
 
     async def call(number):
         caller = f"127.0.0.{10 + number}"
-        return await send(path, "look", number % 3, INNOCENT, caller)
+        return await send(path, "look", number % 3, HARMLESS, caller)
 
-    async def deadly():
-        await come_again(path, "look", hosts, 8, b"")
+    async def fatal():
+        await send_repeatedly(path, "look", hosts, 8, b"")
 
     context.first = {}
 
-    async def innocent_call(number):
+    async def harmless_call(number):
         context.first[number] = await call(number)
 
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(deadly)
-        for number in range(innocent):
-            tasks.start_soon(innocent_call, number)
+        tasks.start_soon(fatal)
+        for number in range(harmless):
+            tasks.start_soon(harmless_call, number)
             await anyio.sleep(0.03)
     await anyio.sleep(UNLISTED_AFTER_S)
     context.later = {
@@ -212,28 +216,28 @@
 
 
 @then(
-    "of the innocent look-ups at most {most:d} are not served, neither at once nor "
-    "when they come again"
+    "of the harmless look-ups at most {most:d} are not served, neither at once nor "
+    "when they are repeated"
 )
-def innocent_served(context, most):
+def harmless_served(context, most):
     not_served = [n for n, status in context.later.items() if status != 200]
     assert len(not_served) <= most, (context.first, context.later)
 
 
-@when("a caller leaves a silent endpoint after {seconds:g} s")
+@when("a caller disconnects from a silent endpoint after {seconds:g} s")
 @crashing
-async def leaves_after(context, path, seconds):
+async def disconnects_after(context, path, seconds):
     for each in path.desks:
-        each.go_dark()
+        each.freeze()
     with anyio.move_on_after(seconds):
-        await send(path, "order", 0, INNOCENT, body=BODY, deadline_ms=4000)
+        await send(path, "order", 0, HARMLESS, body=BODY, deadline_ms=4000)
     await anyio.sleep(0.3)
-    context.status = await send(path, "draft", 0, INNOCENT, body=BODY)
+    context.status = await send(path, "draft", 0, HARMLESS, body=BODY)
     await anyio.sleep(WRITTEN_S)
     context.kinds = {line["message_type"] for line in path.lines(0)}
 
 
-@then("its host serves on, and has counted no error of its own")
-def serves_on(context):
+@then("its host keeps serving, and has logged no internal error")
+def keeps_serving(context):
     assert context.status == 200, context.status
     assert "daemon.fault" not in context.kinds
--- a/features/prompt_parts/ledger.feature
+++ b/features/prompt_parts/ledger.feature
@@ -1,9 +1,9 @@
-Feature: What is concluded from losses, without a network
+Feature: The ledgers of crashes and suspect parts, without a network
 
-  Scenario Outline: A request on <own> of <all> endpoints that end within <within> s is refused: <refused>
-    Guards against blame of innocent requests where many endpoints end together.
+  Scenario Outline: A request on <own> of <all> endpoints that crash within <within> s is refused: <refused>
+    Guards against refusals of harmless requests where many endpoints crash together.
 
-    When a request breaks off at <own> of <all> endpoints that end within <within> s
+    When a request fails at <own> of <all> endpoints that crash within <within> s
     Then 2 s later it is refused: <refused>
 
     Examples:
@@ -15,34 +15,34 @@
       | 2   | 35  | 0.1    | no      |
       | 2   | 5   | 8      | yes     |
 
-  Scenario: A request that was sent to an endpoint after that had ended
-    Guards against blame of repeats that come to an endpoint which is gone already.
+  Scenario: A request that was sent to an endpoint that had crashed already
+    Guards against blame of retries at an endpoint that is gone already.
 
-    When a request breaks off at two endpoints, at the second one after others did there
+    When a request fails at two endpoints, at the second one after others failed there
     Then 2 s later it is refused: no
 
-  Scenario Outline: A request lost with an endpoint at which <before> is blamed all the same
-    Guards against calls that ended before, and hide which one the endpoint was lost with.
+  Scenario Outline: A request at a crashed endpoint where <before> is blamed all the same
+    Guards against calls that ended earlier and hide which one the endpoint was lost with.
 
-    When a request breaks off at two endpoints, at each of which <before>
+    When a request fails at two endpoints, at each of which <before>
     Then 2 s later it is refused: yes
 
     Examples:
       | before                                   |
-      | a caller had left 3 s before             |
+      | a caller disconnected 3 s before         |
       | a connection was reset 3 s before        |
       | a connection was reset, and it was alive |
 
   Scenario Outline: Losses of <losses> refuse <refused>
-    Guards against sound parts that are refused for what ran beside them.
+    Guards against safe parts that are refused for what ran beside them.
 
-    Given part f is sound
+    Given part f is safe
     When endpoints are lost with prompts of the parts
       | losses   |
       | <losses> |
     Then of the prompts <asked> these are refused: <refused>
 
-    Examples: a loss each, its prompts apart by a blank
+    Examples: losses separated by slashes, prompts by blanks, parts by dots
       | losses                        | asked           | refused |
       | f.p                           | f.p             | none    |
       | f.p / f.p                     | f.p f.q f       | f.p     |
@@ -57,16 +57,16 @@
       | f.p f.q / f.p / f.q           | f.p f.q         | f.p f.q |
       | f / f / f                     | f f.p           | none    |
 
-  Scenario: One request that is lost again and again does not refuse its parts
-    Guards against parts that are refused as one request with them crashes endpoints.
+  Scenario: One request that is lost repeatedly does not lead to refusals of its parts
+    Guards against parts that are refused because one request with them crashes endpoints.
 
     When one request of the parts p is lost with 4 endpoints
     Then of the prompts p these are refused: none
 
-  Scenario Outline: A part on which an answer began <when>
-    Guards against parts that are sound and stay refused.
+  Scenario Outline: A part to which a response started <when>
+    Guards against safe parts that stay refused.
 
-    When a part is refused, and an answer on it began <when>
+    When a part is refused, and a response to it started <when>
     Then it is refused after that: <refused>
 
     Examples:
@@ -79,10 +79,10 @@
       | nowhere, the store says   | yes     |
       | here 121 s before         | yes     |
 
-  Scenario Outline: A part whose refusal has lapsed, at the host whose turn is <turn>
-    Guards against all hosts trying a part at once when its refusal lapses.
+  Scenario Outline: A part whose refusal has expired, at the host of rank <turn>
+    Guards against all hosts trying a part at once when its refusal expires.
 
-    When a part is refused at a host whose turn is <turn>, and prompts with it still come
+    When a part is refused at the host of rank <turn>, and prompts with it are still sent
     Then it is refused for <first> s at first, and <lost> endpoints are lost within <within> s
 
     Examples:
@@ -92,28 +92,28 @@
       | 1    | 65    | 600    | 3    |
       | 3    | 75    | 600    | 3    |
 
-  Scenario Outline: What is kept of <many> <what> is bounded
-    Guards against tables that grow with the prompts of a day.
+  Scenario Outline: The table of <many> <what> is bounded
+    Guards against tables that grow without bounds.
 
     When <many> <what> were seen
     Then at most <kept> of them are kept, and the newest and those with most losses are
 
     Examples:
       | many  | what          | kept |
-      | 10000 | sound parts   | 4096 |
+      | 10000 | safe parts    | 4096 |
       | 3000  | suspect parts | 1000 |
 
-  Scenario: A loss is told with as many calls as it may be
+  Scenario: A loss is reported with a bounded number of calls
     Guards against messages that grow with the calls of an endpoint.
 
     When an endpoint is lost with 500 calls of parts of their own
-    Then at most 64 calls are told
+    Then at most 64 calls are reported
 
-  Scenario Outline: In a <pool> pool of <hosts> hosts a loss is told to <told> at most
+  Scenario Outline: In a <pool> pool of <hosts> hosts a loss is reported to <told> at most
     Guards against messages that grow with the fleet.
 
-    When a host of a <pool> pool of <hosts> hosts tells a loss with 2 calls of 3 parts each
-    Then <told> hosts receive it at most, and each only the calls that it keeps parts of
+    When a host of a <pool> pool of <hosts> hosts reports a loss with 2 calls of 3 parts each
+    Then <told> hosts receive it at most, and each only the calls that it coordinates parts of
 
     Examples:
       | pool  | hosts | told |
--- a/features/prompt_parts/prompt_parts.py
+++ b/features/prompt_parts/prompt_parts.py
@@ -1,4 +1,4 @@
-"""Engines that one part of a prompt crashes, and callers whose prompts share parts."""
+"""Engines that a part of a prompt crashes, and callers whose prompts share parts."""
 
 import itertools
 from dataclasses import dataclass, field
@@ -11,12 +11,12 @@
 
 ENGINES = 6
 FIRST = "aa00:50"
-"""Part that begins all prompts."""
+"""First part of all prompts."""
 
-DEADLY = "dead"
-"""Begins the ids of parts that crash engines; a last part does no harm."""
+FATAL = "dead"
+"""Prefix of the ids of parts that crash engines, unless they come last."""
 
-COMES_AGAIN_S = 0.15
+RETRY_INTERVAL_S = 0.15
 EVENT = b"id: 1\ndata: t1\n\n"
 
 
@@ -27,14 +27,14 @@
 
 
 class PartCrashingEngine(CrashingEngine):
-    """An engine that ends as it begins to write an answer on a deadly part."""
+    """An engine that crashes as it starts to respond to a fatal part."""
 
-    ends = "after its head"
+    crashes = "after its head"
 
     async def answer(self, request, responder, behaviour):
         is_own = header(request, "Expect-Instance") in (None, self.name)
-        is_deadly = any(each.startswith(DEADLY) for each in parts_of(request)[:-1])
-        if is_own and is_deadly and self._would_run(request):
+        is_fatal = any(each.startswith(FATAL) for each in parts_of(request)[:-1])
+        if is_own and is_fatal and self._would_serve(request):
             self.pool.reached_s.append(anyio.current_time())
             await anyio.sleep(CRASHES_AFTER_S)
             await self._begin(request, responder)
@@ -45,17 +45,17 @@
     async def _begin(self, request, responder):
         from knapweedbridge_daemon.serving.wire import ResponseHead
 
-        if self.ends == "before its head":
+        if self.crashes == "before its head":
             return
         kind = [(b"Content-Type", b"text/event-stream")]
         await responder.start(ResponseHead(200, self.sealed(request) + kind))
-        if self.ends == "after an event":
+        if self.crashes == "after an event":
             await responder.send(EVENT)
         await anyio.sleep(CRASHES_AFTER_S)
 
 
 class PartsPath(WholePath):
-    """A whole path with some more engines, which deadly parts end."""
+    """A whole path with several engines, which fatal parts crash."""
 
     engine_kind = PartCrashingEngine
 
@@ -67,7 +67,7 @@
 
 @dataclass
 class Sent:
-    """One request, and its answer."""
+    """One request and its response."""
 
     at_s: float
     host: int
@@ -85,50 +85,54 @@
 
 @dataclass
 class Traffic:
-    """Requests with deadly parts, and sound ones that share all else with them.
+    """Requests with fatal parts, and safe ones that share all other parts.
 
     Parameters
     ----------
+    path : PartsPath
+        The daemons and engines.
+    hosts : tuple of int
+        Numbers of the hosts that get the requests.
     places : int
-        Parts between the first and the last one.
+        Number of parts between the first and the last one.
     place : int
-        Which of all parts is the deadly one.
+        Index of the fatal part.
     """
 
     path: WholePath
     hosts: tuple
     places: int = 1
     place: int = 1
-    deadly: list = field(default_factory=list)
-    sound: list = field(default_factory=list)
+    fatal: list = field(default_factory=list)
+    safe: list = field(default_factory=list)
     numbers: itertools.count = field(default_factory=itertools.count)
 
-    def prompt(self, number, deadly=None):
-        """Return the parts of a prompt; no two end alike."""
+    def prompt(self, number, fatal=None):
+        """Return the parts of a prompt; the last part differs in all prompts."""
         middle = [f"bb{place}{number % 3}:30" for place in range(self.places)]
         parts = [FIRST, *middle, f"cc{number:04x}:20"]
-        if deadly is not None:
-            parts[self.place] = f"{deadly}:30"
+        if fatal is not None:
+            parts[self.place] = f"{fatal}:30"
         return ",".join(parts)
 
     async def warm_up(self):
-        """Have each adapter loaded, and each part answered somewhere."""
+        """Load each adapter, and have each part answered at one engine."""
         for number in range(6):
-            await self.send(self.sound, number, self.hosts[0])
-        self.sound.clear()
+            await self.send(self.safe, number, self.hosts[0])
+        self.safe.clear()
 
-    async def send(self, kept, number, host, deadly=None):
-        """Send one request: no two are alike, and callers and adapters vary."""
+    async def send(self, sent_list, number, host, fatal=None):
+        """Send one request; all differ in their body, caller or adapter."""
         kind = ("draft", "note")[number % 2]
         headers = {
             "Deadline-Ms": "2500",
             "Model": f"base/a{number % 2 + 1}",
             "Token-Counts": "100,30",
-            "Prompt-Prefix": self.prompt(number, deadly),
+            "Prompt-Prefix": self.prompt(number, fatal),
         }
         caller = f"127.0.0.{number % 3 + 10}"
         sent = Sent(anyio.current_time(), host)
-        kept.append(sent)
+        sent_list.append(sent)
         serial = next(self.numbers)
         try:
             answer = await self.path.call(
@@ -143,22 +147,22 @@
             return
         sent.status, sent.body = answer.status_code, answer.text
 
-    async def come(self, times, deadly=f"{DEADLY}01", pause_s=COMES_AGAIN_S):
-        """Send deadly requests by all hosts in turn, each beside a sound one."""
+    async def run(self, times, fatal=f"{FATAL}01", pause_s=RETRY_INTERVAL_S):
+        """Send fatal requests to all hosts in turn, each beside a safe one."""
         async with anyio.create_task_group() as tasks:
             for number in range(times):
                 host = self.hosts[number % len(self.hosts)]
-                tasks.start_soon(self.send, self.deadly, number, host, deadly)
+                tasks.start_soon(self.send, self.fatal, number, host, fatal)
                 await anyio.sleep(pause_s / 2)
                 other = self.hosts[(number + 1) % len(self.hosts)]
-                tasks.start_soon(self.send, self.sound, number, other)
+                tasks.start_soon(self.send, self.safe, number, other)
                 await anyio.sleep(pause_s / 2)
 
 
-def crash_by_parts(path, how, ends="after its head"):
-    """Return the pool of a path whose engines end in one way."""
+def make_crashing(path, how, crashes="after its head"):
+    """Return the pool of a path, whose engines crash in the given way."""
     pool = CrashingPool(path, how)
     pool.reached_s = []
     for each in path.engines:
-        each.ends = ends
+        each.crashes = crashes
     return pool
--- a/features/prompt_parts/steps/ledger_steps.py
+++ b/features/prompt_parts/steps/ledger_steps.py
@@ -26,10 +26,9 @@
 
 
 @when(
-    "a request breaks off at {own:d} of {every:d} endpoints that end within "
-    "{within:g} s"
+    "a request fails at {own:d} of {every:d} endpoints that crash within {within:g} s"
 )
-def breaks_at_some(context, own, every, within):
+def fails_at_some(context, own, every, within):
     ledger = context.ledger = CrashLedger()
     context.until_s = NOW_S + within
     for number in range(every):
@@ -40,8 +39,8 @@
         ledger.lost(start, at_s)
 
 
-@when("a request breaks off at two endpoints, at the second one after others did there")
-def comes_too_late(context):
+@when("a request fails at two endpoints, at the second one after others failed there")
+def fails_too_late(context):
     ledger = context.ledger = CrashLedger()
     context.until_s = NOW_S
     first, second = EndpointStart("e1", 0), EndpointStart("e2", 0)
@@ -53,7 +52,7 @@
     ledger.lost(second, NOW_S + 0.03)
 
 
-@when("a request breaks off at two endpoints, at each of which {before}")
+@when("a request fails at two endpoints, at each of which {before}")
 def ended_before(context, before):
     ledger = context.ledger = CrashLedger()
     context.until_s = NOW_S + 8
@@ -75,8 +74,8 @@
     assert (found > 0) == (refused == "yes"), found
 
 
-@given("part f is sound")
-def first_is_sound(context):
+@given("part f is safe")
+def first_is_safe(context):
     context.parts = PartLedger()
     context.parts.begun(["f"], NOW_S - 5)
 
@@ -113,12 +112,12 @@
 
 
 def lose(ledger, number, at_s, part="p"):
-    """Have an endpoint be lost with a prompt that no other equals."""
+    """Record that an endpoint was lost with a unique prompt."""
     ledger.blamed(f"e{number} 0", [LostCall(f"r{number}", (part,))], at_s)
 
 
-@when("a part is refused, and an answer on it began {when_begun}")
-def answer_began(context, when_begun):
+@when("a part is refused, and a response to it started {when_begun}")
+def response_started(context, when_begun):
     ledger = context.parts = PartLedger()
     if "before" in when_begun:
         ledger.begun(["p"], NOW_S - (121 if "121" in when_begun else 1))
@@ -141,9 +140,9 @@
 
 
 @when(
-    "a part is refused at a host whose turn is {turn:d}, and prompts with it still come"
+    "a part is refused at the host of rank {turn:d}, and prompts with it are still sent"
 )
-def still_come(context, turn):
+def still_sent(context, turn):
     ledger = context.parts = PartLedger()
     ledger.turn_of = lambda mark: turn
     context.lost_s = []
@@ -166,8 +165,8 @@
     assert len(found) == lost, context.lost_s
 
 
-@when("{many:d} sound parts were seen")
-def many_sound(context, many):
+@when("{many:d} safe parts were seen")
+def many_safe(context, many):
     ledger = context.parts = PartLedger()
     for number in range(many):
         ledger.begun([f"p{number}"], NOW_S)
@@ -208,14 +207,14 @@
     assert len(ledger.parts) <= MAX_SUSPECTS
 
 
-@then("at most {most:d} calls are told")
-def told_at_most(context, most):
+@then("at most {most:d} calls are reported")
+def reported_at_most(context, most):
     assert most == MAX_CALLS_PER_LOSS
     assert len(context.found.calls) <= most, len(context.found.calls)
 
 
-class Nowhere:
-    """A log, and measures, that keep nothing."""
+class Discard:
+    """A log and metrics that discard everything."""
 
     def info(self, *line, **fields):
         pass
@@ -225,7 +224,7 @@
 
 
 class Pool:
-    """What is believed of a pool, and what its first host tells the others."""
+    """The state of a pool, and the messages of its first host."""
 
     def __init__(self, hosts, is_small):
         names = [f"host-{number}" for number in range(hosts)]
@@ -239,33 +238,34 @@
 
 
 @when(
-    "a host of a {pool} pool of {hosts:d} hosts tells a loss with 2 calls of 3 parts "
+    "a host of a {pool} pool of {hosts:d} hosts reports a loss with 2 calls of 3 parts "
     "each"
 )
-def tells_loss(context, pool, hosts):
+def reports_loss(context, pool, hosts):
     cluster = context.pool = Pool(hosts, pool == "small")
     hub = SimpleNamespace(
         cluster=cluster,
         identity=SimpleNamespace(name="host-0"),
-        log=Nowhere(),
-        metrics=Nowhere(),
+        log=Discard(),
+        metrics=Discard(),
     )
     calls = [
         LostCall("r1", ("a1", "a2", "a3")),
         LostCall("r2", ("b1", "b2", "b3")),
     ]
 
-    async def tell():
+    async def report():
         found = LossEvidence(anyio.current_time(), [], calls)
         await BlameNotifier(hub, cluster.send).notify_losses(
             {"e1 0": found}, "unlisted"
         )
 
-    anyio.run(tell)
+    anyio.run(report)
 
 
 @then(
-    "{told:d} hosts receive it at most, and each only the calls that it keeps parts of"
+    "{told:d} hosts receive it at most, and each only the calls that it coordinates "
+    "parts of"
 )
 def told_hosts(context, told):
     pool = context.pool
--- a/packages/daemon/src/knapweedbridge_daemon/serving/admission_records.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/admission_records.py
@@ -1,4 +1,4 @@
-"""What is logged and counted of calls that engines cannot answer in time."""
+"""Logs and metrics of calls that engines cannot answer in time."""
 
 from knapweedbridge_core.serving import (
     PendingRequest,
@@ -10,68 +10,68 @@
 from knapweedbridge_daemon.serving.call import Call
 from knapweedbridge_daemon.serving.hub import Hub
 
-RANKS = 9
-"""Highest rank that is counted apart."""
+MAX_RANK = 9
+"""Highest rank that has a counter of its own."""
 
-LONGEST_AGE_S = 999.0
+MAX_LOGGED_AGE_S = 999.0
 
 
 class AdmissionRecords:
-    """Logs and counts what is decided on overdue calls.
+    """Logs and counts the decisions on overdue calls.
 
     Parameters
     ----------
     hub : Hub
-        Log and measures.
+        The daemon's log and metrics.
     """
 
     def __init__(self, hub: Hub) -> None:
         self._hub = hub
 
-    def judged(
-        self, call: Call, case: PendingRequest, verdict: Verdict, now_s: float
+    def record_verdict(
+        self, call: Call, pending: PendingRequest, verdict: Verdict, now_s: float
     ) -> None:
-        """Note a verdict that makes a call wait, or that refuses it.
+        """Record a verdict by which a call waits or is refused.
 
-        The refusals of `AdmitAll` are told by `too_late` alone.
+        The refusals of `AdmitAll` are recorded by `record_too_late` alone.
         """
         if isinstance(verdict, Wait) and not call.waits_overdue:
             call.waits_overdue = True
-            self._note(call, case, "waits", now_s)
+            self._record(call, pending, "waits", now_s)
         elif isinstance(verdict, Reject) and verdict.is_overdue:
-            self._note(call, case, "refused", now_s, verdict.retry_after_s)
+            self._record(call, pending, "refused", now_s, verdict.retry_after_s)
 
-    def sent(self, call: Call, case: PendingRequest, now_s: float) -> None:
-        """Note that a call that had waited, or that is overdue, is sent."""
+    def record_sent(self, call: Call, pending: PendingRequest, now_s: float) -> None:
+        """Record that a call is sent that had waited or is overdue."""
         if call.overdue_rank is not None:
-            self._note(call, case, "sent_last", now_s)
+            self._record(call, pending, "sent_last", now_s)
         elif call.waits_overdue:
-            self._note(call, case, "sent_in_time", now_s)
+            self._record(call, pending, "sent_in_time", now_s)
 
-    def _note(
+    def _record(
         self,
         call: Call,
-        case: PendingRequest,
+        pending: PendingRequest,
         decision: str,
         now_s: float,
         retry_after_s: float | None = None,
     ) -> None:
-        rank = min(RANKS, call.route.urgency)
+        rank = min(MAX_RANK, call.route.urgency)
         self._hub.metrics.count("overdue_calls", f"{decision}_{rank}")
         if retry_after_s is not None:
             retry_after_s = round(retry_after_s, 3)
         self._hub.log.info(
             "call.overdue",
             request=call.details.call_id,
-            spent_s=round(case.spent_s, 3),
-            waited_s=round(case.waited_s(now_s), 3),
+            spent_s=round(pending.spent_s, 3),
+            waited_s=round(pending.waited_s(now_s), 3),
             rank=call.route.urgency,
             queue=self._hub.overload.queued(),
             decision=decision,
             retry_after_s=retry_after_s,
         )
 
-    def too_late(
+    def record_too_late(
         self,
         call: Call,
         choice: TooLate,
@@ -79,7 +79,7 @@
         late_share: float,
         now_s: float,
     ) -> None:
-        """Note a call that is refused, as no engine would answer it in time."""
+        """Record that a call is refused because no engine would answer it in time."""
         best, model = choice.best, call.details.model
         held = best.held.get(model) if model else None
         self._hub.log.info(
@@ -99,6 +99,6 @@
             places_free=best.places_free,
             wants=best.wants,
             failing_share=round(best.failing_share(now_s), 3),
-            heard_age_s=round(min(LONGEST_AGE_S, now_s - best.heard_s), 3),
+            heard_age_s=round(min(MAX_LOGGED_AGE_S, now_s - best.heard_s), 3),
             late_share=round(late_share, 3),
         )
--- a/packages/daemon/src/knapweedbridge_daemon/serving/attempt_records.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/attempt_records.py
@@ -1,4 +1,4 @@
-"""What is expected of an attempt, what is learnt from it, and its line in the log."""
+"""Forecasts attempts, learns from their results and logs them."""
 
 from dataclasses import dataclass
 
@@ -12,46 +12,46 @@
 from knapweedbridge_daemon.serving.hub import Hub
 
 MARK_DIGITS = 8
-"""Digits of a call's mark in log lines: enough to find it when it comes again."""
+"""Digits of a fingerprint in log lines: enough to find a repeated request."""
 
-MOST_PARTS_LOGGED = 8
-"""Parts of a prompt that one log line carries."""
+MAX_LOGGED_PARTS = 8
+"""Parts of a prompt in one log line."""
 
-LONGEST_LOGGED_S = 3600.0
-"""Logged where a version was superseded before this daemon knew of the store."""
+MAX_LOGGED_S = 3600.0
+"""Logged where a version was superseded before this daemon first read the store."""
 
 
 @dataclass(slots=True)
 class Forecast:
-    """What is expected of one attempt, and what came; times on the daemon's clock.
+    """The forecast and the course of one attempt; times on the daemon's clock.
 
     Parameters
     ----------
     began_s : float
-        When it began to wait for its turn.
+        When the attempt began to wait for its turn.
     unread_tokens : int
-        Tokens that the engine had yet to read when it was sent.
+        Tokens that the engine had yet to process when the attempt was sent.
     slot_wait_s, expected_s : float
-        Forecast wait for a slot, and time to the first event in all.
+        Forecast wait for a slot, and forecast time to the first event in all.
     sent_s, first_s : float or None
-        When it was sent, and when its first event came.
+        When the attempt was sent, and when its first event arrived.
     unlisted_for_s : float or None
-        How long the endpoint's entry had been missing when it was sent; None where it
-        was listed.
+        How long the endpoint's entry had been missing when the attempt was sent; None
+        where it was listed.
     limit_per_s : float or None
-        The endpoint's limit when it was sent, as far as was known.
+        The endpoint's known rate limit when the attempt was sent.
     held_version : int or None
-        Version of the adapter that the engine was believed to hold when it was sent;
-        None: it was sent without an adapter.
+        Known version of the adapter on the engine when the attempt was sent; None: it
+        was sent without an adapter.
     superseded_s, first_superseded_s : float or None
-        For how long a newer one may have been named when it was sent, and when its
-        first event came; None: there was none.
+        For how long a newer version may have been published when the attempt was sent,
+        and when its first event arrived; None: there was none.
     forwarder : str
-        Host that carried it; empty: it went over this host's own link.
+        Host that forwarded the attempt; empty: it went over this host's own link.
     head_s : float or None
-        When the head of its answer came.
-    has_stayed : bool
-        Whether the endpoint ran on after the first event.
+        When the head of the response arrived.
+    has_survived : bool
+        Whether the endpoint kept running after the first event.
     """
 
     began_s: float
@@ -67,18 +67,18 @@
     forwarder: str = ""
     first_superseded_s: float | None = None
     head_s: float | None = None
-    has_stayed: bool = False
+    has_survived: bool = False
 
 
 class AttemptRecords:
-    """Forecasts attempts, and keeps what came of them.
+    """Forecasts attempts, and records their results.
 
     Parameters
     ----------
     hub : Hub
-        Rates of the engines, log and measures.
+        The daemon's engine rates, log and metrics.
     observed : EngineObservations
-        Takes what the owners of engines are told.
+        Collects what is reported to the owners of engines.
     """
 
     def __init__(self, hub: Hub, observed: EngineObservations) -> None:
@@ -86,7 +86,7 @@
         self._observed = observed
 
     def forecast(self, call: Call, endpoint: Endpoint, now_s: float) -> Forecast:
-        """Return what is expected of an attempt that begins now."""
+        """Return the forecast of an attempt that begins now."""
         if call.details.model is None:
             return Forecast(now_s)
         return Forecast(
@@ -96,14 +96,14 @@
             self._hub.rates.first_event_s(endpoint, call.details.prompt_tokens, now_s),
         )
 
-    def sent(self, call: Call, target: Target, forecast: Forecast) -> None:
-        """Note what is known of the endpoint as an attempt is sent."""
+    def record_sent(self, call: Call, target: Target, forecast: Forecast) -> None:
+        """Record what is known of the endpoint as an attempt is sent."""
         endpoint = target.endpoint
         forecast.sent_s = loop_time_s()
         forecast.unread_tokens = endpoint.unread_tokens - call.unread_tokens
         forecast.unlisted_for_s = endpoint.unlisted_for_s(forecast.sent_s)
         forecast.limit_per_s = endpoint.pressure.limit_per_s
-        forecast.held_version = version_there(call, target)
+        forecast.held_version = known_version(call, target)
         forecast.superseded_s = self._superseded_for_s(call, forecast)
 
     def _superseded_for_s(self, call: Call, forecast: Forecast) -> float | None:
@@ -111,10 +111,12 @@
         if model is None or version is None:
             return None
         for_s = self._hub.cluster.superseded_for_s(model, version, self._hub.steady_s())
-        return None if for_s is None else min(for_s, LONGEST_LOGGED_S)
+        return None if for_s is None else min(for_s, MAX_LOGGED_S)
 
-    def first_event(self, call: Call, endpoint: Endpoint, forecast: Forecast) -> None:
-        """Note that the first event has just come, and have the engine's owner told."""
+    def record_first_event(
+        self, call: Call, endpoint: Endpoint, forecast: Forecast
+    ) -> None:
+        """Record that the first event arrived, to be reported to the engine's owner."""
         forecast.first_superseded_s = self._superseded_for_s(call, forecast)
         if forecast.first_superseded_s is not None:
             self._hub.metrics.time("superseded_seconds", forecast.first_superseded_s)
@@ -128,10 +130,10 @@
                 forecast.first_s - forecast.sent_s,
             )
 
-    def learn(
+    def record_speed(
         self, call: Call, endpoint: Endpoint, forecast: Forecast, end: AttemptEnd
     ) -> None:
-        """Learn of the engine's speed by what came of an attempt."""
+        """Update the engine's estimated speed by the result of an attempt."""
         now_s = anyio.current_time()
         is_sent = end not in (AttemptEnd.NOT_RUN, AttemptEnd.WITHHELD)
         if call.details.model is None or not is_sent:
@@ -140,7 +142,8 @@
             self._hub.rates.record_end(endpoint, now_s - forecast.began_s)
         first_s = forecast.first_s
         if first_s is None and end is AttemptEnd.BROKEN:
-            # It did not come for as long: a lower bound, and the best that is known.
+            # The time without a first event is a lower bound, and the best that is
+            # known.
             first_s = now_s
         if first_s is None or forecast.slot_wait_s:
             return
@@ -153,7 +156,7 @@
             abs(first_s - forecast.began_s - forecast.expected_s),
         )
 
-    def unreachable(self, endpoint: Endpoint, error: NotSentError) -> None:
+    def record_unreachable(self, endpoint: Endpoint, error: NotSentError) -> None:
         """Log that no connection to an endpoint could be made."""
         fleet = self._hub.cluster.fleet
         self._hub.log.info(
@@ -165,7 +168,7 @@
             error=str(error),
         )
 
-    def note(
+    def record_end(
         self,
         call: Call,
         target: Target,
@@ -173,7 +176,7 @@
         forecast: Forecast,
         detail: str,
     ) -> None:
-        """Log how an attempt ended, and count it for and against its endpoint."""
+        """Log how an attempt ended, and count its result for the endpoint."""
         now_s = anyio.current_time()
         first_s = forecast.first_s
         if end not in (AttemptEnd.ABANDONED, AttemptEnd.WITHHELD):
@@ -184,7 +187,7 @@
             "attempt.ended",
             request=call.details.call_id,
             mark=call.mark[:MARK_DIGITS],
-            parts=[part[:MARK_DIGITS] for part in call.parts[:MOST_PARTS_LOGGED]],
+            parts=[part[:MARK_DIGITS] for part in call.parts[:MAX_LOGGED_PARTS]],
             endpoint=target.endpoint.name,
             software=target.endpoint.record.software,
             version=target.version,
@@ -209,11 +212,11 @@
         )
 
 
-def version_there(call: Call, target: Target) -> int | None:
-    """Return the version that an attempt runs on, as far as is known; None: no adapter.
+def known_version(call: Call, target: Target) -> int | None:
+    """Return the known adapter version of an attempt; None: it has no adapter.
 
-    An engine that must have a version runs no other. Without one it runs what it holds,
-    which was the newest when it was loaded, before any was named.
+    An engine that is sent an expected version runs no other. Without one it runs the
+    version it holds: the newest when it was loaded, before any was published.
     """
     model = call.details.model
     if model is None or not model.adapter:
--- a/packages/daemon/src/knapweedbridge_daemon/serving/attempting.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/attempting.py
@@ -1,4 +1,4 @@
-"""Sends a call to one endpoint, and passes its answer on."""
+"""Sends a call to one endpoint, and forwards its response."""
 
 import math
 
@@ -12,9 +12,9 @@
 from knapweedbridge_daemon.serving.attempt_records import (
     AttemptRecords,
     Forecast,
-    version_there,
+    known_version,
 )
-from knapweedbridge_daemon.serving.call import Call, KeptAnswer, Target
+from knapweedbridge_daemon.serving.call import BufferedResponse, Call, Target
 from knapweedbridge_daemon.serving.clock import loop_time_s
 from knapweedbridge_daemon.serving.dialects import AttemptDetails, ResponseDetails
 from knapweedbridge_daemon.serving.event_stream import EventSplitter
@@ -38,26 +38,26 @@
 )
 from knapweedbridge_daemon.sse import BrokenEventsError
 
-MOST_BUFFERED_BYTES = 8 << 20
-"""Longest answer that is held until it is whole; plain answers are some kB."""
+MAX_BUFFERED_BYTES = 8 << 20
+"""Longest response that is buffered until complete; plain ones have some kB."""
 
-STAYED_S = 0.2
-"""Time that an endpoint runs on after a first event, so that what it answers is sound:
-one that a prompt crashes ends within a tenth of a second."""
+SURVIVED_S = 0.2
+"""Time after the first event past which an endpoint has survived the prompt: one that a
+prompt crashes ends within a tenth of a second."""
 
 LOAD_RETRY_S = 0.04
-"""Wait after an engine refused a call as its adapter's load is not done."""
+"""Wait after an engine refused a call because its adapter is still loading."""
 
 
 class AttemptRunner:
-    """Makes attempts of calls.
+    """Makes single attempts at calls.
 
     Parameters
     ----------
     hub : Hub
-        Dialects, connections and measures.
+        The daemon's dialects, connections and metrics.
     link : PeerLink
-        Is told which calls run where.
+        Reports to the other daemons which calls run where.
     """
 
     def __init__(self, hub: Hub, link: PeerLink) -> None:
@@ -66,9 +66,10 @@
         self._records = AttemptRecords(hub, link.running.observed)
 
     async def attempt(self, call: Call, target: Target) -> AttemptEnd:
-        """Send a call to an endpoint, and tell how that ended.
+        """Send a call to an endpoint, and return how the attempt ended.
 
-        ``WITHHELD``: the endpoint takes no call now, and gets none for a while.
+        ``WITHHELD`` means that the endpoint takes no calls at present, so that the call
+        was not sent.
         """
         endpoint = target.endpoint
         model = call.details.model
@@ -85,45 +86,45 @@
                 end = AttemptEnd.WITHHELD
                 return end
             call.progress.sends += 1
-            if call.holds_repeat:
-                call.holds_repeat = False
+            if call.has_reserved_retry:
+                call.has_reserved_retry = False
                 self._hub.budget.sent(call.service, loop_time_s())
-            self._records.sent(call, target, forecast)
-            first_byte_timeouts = self._patience(call, target, forecast)
-            with self._hub.first_byte_timeouts.waiting(first_byte_timeouts):
-                end = await self._exchange(call, target, first_byte_timeouts, forecast)
+            self._records.record_sent(call, target, forecast)
+            timeout = self._make_timeout(call, target, forecast)
+            with self._hub.first_byte_timeouts.enforce(timeout):
+                end = await self._exchange(call, target, timeout, forecast)
         except NotSentError as error:
             end, detail = AttemptEnd.NOT_RUN, str(error)
             call.refused.add(endpoint.name)
             endpoint.record_unreachable(loop_time_s())
-            self._records.unreachable(endpoint, error)
+            self._records.record_unreachable(endpoint, error)
             if error.is_lost:
-                self._link.crashes.note_lost(endpoint.name, "unreachable")
+                self._link.crashes.report_loss(endpoint.name, "unreachable")
         except (ConnectionBrokenError, BrokenEventsError) as error:
             end, detail = AttemptEnd.BROKEN, str(error)
             call.progress.runs.add(endpoint.name)
             is_closed = not isinstance(error, FirstByteTimeoutError)
         finally:
             if end is AttemptEnd.ABANDONED:
-                # Broken off by its caller or by a deadline, it may run all the same.
+                # Cancelled by its caller or by a deadline, it may run all the same.
                 call.progress.runs.add(endpoint.name)
             if end in (AttemptEnd.BROKEN, AttemptEnd.ABANDONED):
-                self._link.crashes.attempt_ended(
+                self._link.crashes.record_failed_attempt(
                     call,
                     endpoint,
                     forecast.sent_s or None,
                     is_closed,
-                    forecast.has_stayed,
+                    forecast.has_survived,
                 )
-            self._records.learn(call, endpoint, forecast, end)
-            self._note_read(call, endpoint)
-            whole = end not in (AttemptEnd.BROKEN, AttemptEnd.ABANDONED)
-            self._link.running.end(endpoint, model, whole)
-            self._records.note(call, target, end, forecast, detail)
+            self._records.record_speed(call, endpoint, forecast, end)
+            self._record_prompt_read(call, endpoint)
+            is_complete = end not in (AttemptEnd.BROKEN, AttemptEnd.ABANDONED)
+            self._link.running.end(endpoint, model, is_complete)
+            self._records.record_end(call, target, end, forecast, detail)
         return end
 
     async def _may_send(self, call: Call, target: Target) -> bool:
-        """Tell whether an endpoint takes a call that has waited for its turn."""
+        """Return whether a call that has waited for its turn may still be sent."""
         if not target.endpoint.accepts_work(loop_time_s()):
             return False
         if not await self._link.permits.take(target.endpoint):
@@ -131,48 +132,47 @@
         return self._may_begin(call, target)
 
     def _may_begin(self, call: Call, target: Target) -> bool:
-        """Tell whether work may still begin on the version that a call was placed for.
+        """Return whether work may still begin on the version chosen at placement.
 
-        The engine's own version may have been superseded while the call waited.
+        The version that the engine holds may have been superseded while the call
+        waited.
         """
-        version = version_there(call, target)
+        version = known_version(call, target)
         if version is None or call.details.model is None:
             return True
         now_s = self._hub.steady_s()
         versions = self._hub.cluster.servable_versions(call.details.model, now_s)
-        # Without the forecast that placement goes by, so that a call which was placed
-        # at this moment is not withheld.
+        # Placement allows for the forecast time to the first event; without it here, a
+        # call that was placed just now is not withheld.
         return versions is None or versions.serves(version, 0.0)
 
-    def _note_read(self, call: Call, endpoint: Endpoint) -> None:
+    def _record_prompt_read(self, call: Call, endpoint: Endpoint) -> None:
         if call.unread_tokens:
-            self._link.running.prompt_read(endpoint, call.unread_tokens)
+            self._link.running.record_prompt_read(endpoint, call.unread_tokens)
             call.unread_tokens = 0
 
-    def _patience(
+    def _make_timeout(
         self, call: Call, target: Target, forecast: Forecast
     ) -> FirstByteTimeout:
         version = forecast.held_version
         model = None if version is None else call.details.model
-        return FirstByteTimeout(
-            model, version or 0, self._patient_until_s(call, target)
-        )
+        return FirstByteTimeout(model, version or 0, self._timeout_at_s(call, target))
 
-    def _patient_until_s(self, call: Call, target: Target) -> float:
+    def _timeout_at_s(self, call: Call, target: Target) -> float:
         others_left = len(call.progress.runs) + 1 < call.route.max_attempts
         if not (call.route.repeatable and others_left):
             return math.inf
         now_s = loop_time_s()
-        patience_s = first_byte_timeout_s(
+        timeout_s = first_byte_timeout_s(
             call.route, self._hub.rates.first_event_s(target.endpoint, 0, now_s)
         )
-        return now_s + patience_s
+        return now_s + timeout_s
 
     async def _exchange(
         self,
         call: Call,
         target: Target,
-        first_byte_timeouts: FirstByteTimeout,
+        timeout: FirstByteTimeout,
         forecast: Forecast,
     ) -> AttemptEnd:
         head = self._attempt_head(call, target)
@@ -197,11 +197,11 @@
             if proved.not_run:
                 async for _ in connection.read_body():
                     pass
-                await self._note_refused(call, target, answer, proved)
+                await self._record_refusal(call, target, answer, proved)
                 return AttemptEnd.NOT_RUN
             call.progress.runs.add(target.endpoint.name)
             if not proved.stream:
-                self._hub.first_byte_timeouts.begun(first_byte_timeouts)
+                self._hub.first_byte_timeouts.record_start(timeout)
             if not proved.genuine:
                 raise ConnectionBrokenError(
                     f"status {answer.status} without a signature"
@@ -212,7 +212,7 @@
                     target.endpoint,
                     connection,
                     answer,
-                    first_byte_timeouts,
+                    timeout,
                     forecast,
                 )
             return await self._take_whole(call, connection, answer)
@@ -235,7 +235,7 @@
             headers.append((b"Content-Length", b"%d" % len(body)))
         return RequestHead(head.method, head.target, headers)
 
-    async def _note_refused(
+    async def _record_refusal(
         self, call: Call, target: Target, answer: ResponseHead, proved: ResponseDetails
     ) -> None:
         endpoint, model = target.endpoint, call.details.model
@@ -249,34 +249,34 @@
         )
         now_s = loop_time_s()
         if proved.endpoint not in (None, endpoint.name):
-            # Its address went to another: the one that was believed in is gone.
+            # The address now belongs to another endpoint: the expected one is gone.
             call.refused.add(endpoint.name)
             endpoint.record_unreachable(now_s)
-            self._link.crashes.note_lost(endpoint.name, "replaced")
+            self._link.crashes.report_loss(endpoint.name, "replaced")
         elif not proved.wrong_endpoint or model not in endpoint.held:
             call.refused.add(endpoint.name)
         elif not endpoint.has_recent_update(now_s):
-            # The platform's list was late: the adapter has been unloaded since.
+            # The platform's list was outdated: the adapter has been unloaded since.
             del endpoint.held[model]
         else:
-            # The load is not done yet: a fetch elsewhere would take longer.
+            # The adapter is still loading: loading it elsewhere would take longer.
             endpoint.held[model].ready_s = now_s + LOAD_RETRY_S
-            missed = AdapterMissing(endpoint.name, model.base, model.adapter)
-            await self._link.send(endpoint.owner, missed)
+            missing = AdapterMissing(endpoint.name, model.base, model.adapter)
+            await self._link.send(endpoint.owner, missing)
 
-    def _note_events(
+    def _record_events(
         self, call: Call, endpoint: Endpoint, forecast: Forecast, now_s: float
     ) -> None:
         if forecast.first_s is None:
             forecast.first_s = now_s
-            self._records.first_event(call, endpoint, forecast)
+            self._records.record_first_event(call, endpoint, forecast)
         elif call.event_s is not None:
             self._link.running.record_pause(endpoint, now_s - call.event_s)
             self._hub.rates.record_gap(endpoint, now_s - call.event_s)
-        if not forecast.has_stayed and now_s - forecast.first_s >= STAYED_S:
-            forecast.has_stayed = True
-            self._link.crashes.begun(call)
-        call.note_events(now_s)
+        if not forecast.has_survived and now_s - forecast.first_s >= SURVIVED_S:
+            forecast.has_survived = True
+            self._link.crashes.record_survival(call)
+        call.record_events(now_s)
 
     async def _take_whole(
         self, call: Call, connection: ClientConnection, answer: ResponseHead
@@ -286,14 +286,16 @@
         async for part in connection.read_body():
             parts.append(part)
             size += len(part)
-            if size > MOST_BUFFERED_BYTES:
-                raise ConnectionBrokenError("the answer is too long")
-        kept = KeptAnswer(answer, b"".join(parts))
+            if size > MAX_BUFFERED_BYTES:
+                raise ConnectionBrokenError(
+                    f"the response is longer than {MAX_BUFFERED_BYTES} bytes"
+                )
+        buffered = BufferedResponse(answer, b"".join(parts))
         if answer.status >= 500 or call.responder.begun:
-            # A stream that was begun cannot become another answer.
-            call.failure = kept
+            # A started stream cannot be replaced by another response.
+            call.failure = buffered
             return AttemptEnd.FAILED
-        await call.pass_on(kept)
+        await call.forward_response(buffered)
         return AttemptEnd.ANSWERED
 
     async def _relay(
@@ -302,32 +304,32 @@
         endpoint: Endpoint,
         connection: ClientConnection,
         answer: ResponseHead,
-        first_byte_timeouts: FirstByteTimeout,
+        timeout: FirstByteTimeout,
         forecast: Forecast,
     ) -> AttemptEnd:
         resumed = call.progress.begun
-        cutter = EventSplitter(call.last_event if resumed else None)
+        splitter = EventSplitter(call.last_event if resumed else None)
         send = call.responder.send
         async for chunk in connection.read_body():
-            events = cutter.feed(chunk)
+            events = splitter.feed(chunk)
             if not events.count:
                 continue
             now_s = loop_time_s()
             if forecast.first_s is None:
-                self._hub.first_byte_timeouts.begun(first_byte_timeouts)
+                self._hub.first_byte_timeouts.record_start(timeout)
             if call.unread_tokens:
-                self._note_read(call, endpoint)
-            self._note_events(call, endpoint, forecast, now_s)
+                self._record_prompt_read(call, endpoint)
+            self._record_events(call, endpoint, forecast, now_s)
             if events.last_id is not None:
                 call.last_event = events.last_id
             if not call.progress.begun:
-                await self._link.resuming.begun(call, endpoint)
+                await self._link.resuming.record_start(call, endpoint)
                 await self._begin_stream(call, answer, now_s)
             await send(events.data)
-        if cutter.rest:
-            raise ConnectionBrokenError("ended in the middle of an event")
+        if splitter.rest:
+            raise ConnectionBrokenError("the stream ended in the middle of an event")
         if not call.progress.begun:
-            raise ConnectionBrokenError("a stream without an event")
+            raise ConnectionBrokenError("the stream has no event")
         await call.responder.end()
         return AttemptEnd.ANSWERED
 
--- a/packages/daemon/src/knapweedbridge_daemon/serving/backpressure_recorder.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/backpressure_recorder.py
@@ -1,4 +1,4 @@
-"""Takes what endpoints ask for in their answers."""
+"""Records the backpressure that endpoints signal in their responses."""
 
 import anyio
 
@@ -9,14 +9,14 @@
 
 
 class BackpressureRecorder:
-    """Reads backpressure from the answers of endpoints.
+    """Records the draining, pauses and limits that endpoints signal.
 
     Parameters
     ----------
     hub : Hub
-        Log and measures.
+        The daemon's log and metrics.
     permits : Permits
-        Is told of limits.
+        Shares the limits with the other daemons.
     """
 
     def __init__(self, hub: Hub, permits: Permits) -> None:
@@ -26,29 +26,29 @@
     async def take(
         self, endpoint: Endpoint, answer: ResponseDetails, sent_s: float
     ) -> None:
-        """Take what an answer of an endpoint asks for, if it is that endpoint's.
+        """Record the backpressure in a response, if it comes from the given endpoint.
 
         Parameters
         ----------
         sent_s : float
-            When the call or order was sent.
+            When the request that was answered was sent.
         """
         if answer.endpoint not in (None, endpoint.name):
             return
         for name in answer.unreadable:
             self._hub.log.info("answer.unreadable", endpoint=endpoint.name, field=name)
-        self._take_leaving(endpoint, answer)
-        self._take_rest(endpoint, answer)
-        await self._take_limit(endpoint, answer, sent_s)
-        await self._take_brittle(endpoint, answer, sent_s)
+        self._record_draining(endpoint, answer)
+        self._record_pause(endpoint, answer)
+        await self._record_limit(endpoint, answer, sent_s)
+        await self._record_brittle_limit(endpoint, answer, sent_s)
 
-    def _take_leaving(self, endpoint: Endpoint, answer: ResponseDetails) -> None:
+    def _record_draining(self, endpoint: Endpoint, answer: ResponseDetails) -> None:
         if answer.leaves and endpoint.pressure.record_draining():
             self._hub.metrics.count("endpoint_leavings")
             self._hub.log.info("endpoint.leaving", endpoint=endpoint.name)
             self._hub.engines_changed.tell()
 
-    def _take_rest(self, endpoint: Endpoint, answer: ResponseDetails) -> None:
+    def _record_pause(self, endpoint: Endpoint, answer: ResponseDetails) -> None:
         if answer.retry_after_s is None:
             return
         endpoint.pressure.record_pause(answer.retry_after_s, anyio.current_time())
@@ -58,12 +58,12 @@
         )
         self._hub.engines_changed.tell()
 
-    async def _take_limit(
+    async def _record_limit(
         self, endpoint: Endpoint, answer: ResponseDetails, sent_s: float
     ) -> None:
         if answer.limit_per_s is None:
-            # Only an answer that is surely the endpoint's own may end a limit, and only
-            # one to a later call: others may have been on their way as it was named.
+            # Only an authenticated response may end a limit, and only one to a later
+            # request: others may have been under way when the limit was set.
             is_later = sent_s > endpoint.pressure.limit_heard_s
             if not endpoint.pressure.is_limited or not (answer.genuine and is_later):
                 return
@@ -82,14 +82,14 @@
         )
         await self._permits.report_limit(endpoint)
 
-    async def _take_brittle(
+    async def _record_brittle_limit(
         self, endpoint: Endpoint, answer: ResponseDetails, sent_s: float
     ) -> None:
         pressure, per_s = endpoint.pressure, answer.brittle_per_s
-        # As with a limit: only a later answer that is surely its own may end it.
+        # As above: only a later, authenticated response may end the limit.
         is_later = answer.genuine and sent_s > pressure.brittle_heard_s
-        counts = per_s is not None or is_later
-        if counts and pressure.update_brittle_limit(per_s, anyio.current_time()):
+        is_valid = per_s is not None or is_later
+        if is_valid and pressure.update_brittle_limit(per_s, anyio.current_time()):
             self._hub.log.info(
                 "endpoint.brittle", endpoint=endpoint.name, turned_away_per_s=per_s
             )
--- a/packages/daemon/src/knapweedbridge_daemon/serving/call_runner.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/call_runner.py
@@ -1,4 +1,4 @@
-"""The life of one call: placed, sent, sent again where that is allowed, ended once."""
+"""Runs one call to its end: places it, sends it and retries it where allowed."""
 
 import anyio
 
@@ -19,72 +19,74 @@
     Parameters
     ----------
     hub : Hub
-        Beliefs, dialects and measures.
+        The daemon's cluster state, dialects and metrics.
     link : PeerLink
-        To the owners of engines.
+        Connects to the other daemons.
     """
 
     def __init__(self, hub: Hub, link: PeerLink) -> None:
         self._hub = hub
         self._link = link
-        self._placing = CallPlacer(hub, link)
-        self._attempting = AttemptRunner(hub, link)
+        self._placer = CallPlacer(hub, link)
+        self._attempts = AttemptRunner(hub, link)
         self._suspects = SuspectCalls(hub)
 
     async def run(self, call: Call) -> str:
-        """Run a call, and answer it; return a word for how it ended."""
+        """Run and answer a call; return its outcome for metrics and logs."""
         try:
             return await self._run(call)
         finally:
-            if call.holds_repeat:
+            if call.has_reserved_retry:
                 self._hub.budget.give_back(call.service)
 
     async def _run(self, call: Call) -> str:
         if call.is_resumed:
             refusal = await self._link.resuming.resume(call)
             if refusal is not None:
-                return await self._give_up(call, refusal)
+                return await self._refuse(call, refusal)
         while True:
-            blamed_s = await self._suspects.admit(call)
+            refused_for_s = await self._suspects.admit(call)
             try:
-                end = await self._try_once(call, blamed_s)
+                end = await self._attempt_once(call, refused_for_s)
             finally:
                 self._suspects.release(call)
             if isinstance(end, Refusal):
-                return await self._unplaced(call, end)
+                return await self._end_unplaced(call, end)
             if end in (AttemptEnd.ANSWERED, AttemptEnd.FAILED):
-                self._link.crashes.answered(call)
+                self._link.crashes.record_answer(call)
             if end is AttemptEnd.ANSWERED:
-                self._link.resuming.ended(call)
+                self._link.resuming.record_end(call)
                 return "answered"
             if end is AttemptEnd.WITHHELD:
                 continue
-            if not self._send_again(call, end):
+            if not self._may_retry(call, end):
                 return await self._fail(call, end)
 
-    async def _try_once(self, call: Call, blamed_s: float) -> AttemptEnd | Refusal:
-        """Make one attempt of a call, or return why it is not sent."""
-        if blamed_s:
-            return self._refuse_blamed(call, blamed_s)
-        target = await self._placing.place(call)
+    async def _attempt_once(
+        self, call: Call, refused_for_s: float
+    ) -> AttemptEnd | Refusal:
+        """Make one attempt at a call, or return why it is not sent."""
+        if refused_for_s:
+            return self._make_blamed_refusal(call, refused_for_s)
+        target = await self._placer.place(call)
         if isinstance(target, Refusal):
             return target
-        blamed_s = self._blamed_for_s(call)
-        if blamed_s:
-            return self._refuse_blamed(call, blamed_s)
+        refused_for_s = self._refused_for_s(call)
+        if refused_for_s:
+            return self._make_blamed_refusal(call, refused_for_s)
         return await self._attempt(call, target)
 
-    def _refuse_blamed(self, call: Call, blamed_s: float) -> Refusal:
+    def _make_blamed_refusal(self, call: Call, refused_for_s: float) -> Refusal:
         self._hub.log.info(
             "call.blamed",
             request=call.details.call_id,
             mark=call.mark[:MARK_DIGITS],
             parts=[part[:MARK_DIGITS] for part in call.parts],
-            refused_for_s=round(blamed_s, 1),
+            refused_for_s=round(refused_for_s, 1),
         )
-        return Refusal(503, "blamed", blamed_s)
+        return Refusal(503, "blamed", refused_for_s)
 
-    def _blamed_for_s(self, call: Call) -> float:
+    def _refused_for_s(self, call: Call) -> float:
         return self._hub.crashes.refused_for_s(
             call.mark, anyio.current_time(), call.parts
         )
@@ -92,26 +94,26 @@
     async def _attempt(self, call: Call, target: Target) -> AttemptEnd:
         end = AttemptEnd.ABANDONED
         try:
-            end = await self._attempting.attempt(call, target)
+            end = await self._attempts.attempt(call, target)
         finally:
             if call.details.model is None:
                 await self._link.plain.ended(target.endpoint, end)
         return end
 
-    def _send_again(self, call: Call, end: AttemptEnd) -> bool:
+    def _may_retry(self, call: Call, end: AttemptEnd) -> bool:
         if not may_retry(call.route, call.progress, end):
             return False
         now_s = anyio.current_time()
-        if self._blamed_for_s(call):
+        if self._refused_for_s(call):
             return False
-        return self._spend_repeat(call, end, now_s)
+        return self._reserve_retry(call, end, now_s)
 
-    def _spend_repeat(self, call: Call, end: AttemptEnd, now_s: float) -> bool:
-        """Return whether the retry budget has room for a call to be sent again."""
+    def _reserve_retry(self, call: Call, end: AttemptEnd, now_s: float) -> bool:
+        """Return whether the retry budget allows a retry of the call."""
         hub = self._hub
         before = hub.budget.allowance(call.service, now_s)
         is_granted = hub.budget.spend(call.service, now_s)
-        call.holds_repeat = is_granted
+        call.has_reserved_retry = is_granted
         hub.metrics.count("repeats", "granted" if is_granted else "denied")
         hub.log.info(
             "repeat.granted" if is_granted else "repeat.denied",
@@ -127,23 +129,23 @@
 
     async def _fail(self, call: Call, end: AttemptEnd) -> str:
         if call.responder.begun:
-            # The answer must not look complete: its connection is cut.
+            # The response must not look complete, so the connection is closed.
             return "cut"
         if call.failure is not None:
-            await call.pass_on(call.failure)
+            await call.forward_response(call.failure)
             return "failed_by_endpoint"
         if not call.progress.may_have_run:
-            return await self._give_up(call, Refusal(503, "not_run", BUSY_AFTER_S))
-        return await self._give_up(call, Refusal(502, "broken"))
+            return await self._refuse(call, Refusal(503, "not_run", BUSY_AFTER_S))
+        return await self._refuse(call, Refusal(502, "broken"))
 
-    async def _unplaced(self, call: Call, refusal: Refusal) -> str:
+    async def _end_unplaced(self, call: Call, refusal: Refusal) -> str:
         if call.failure is not None and not call.responder.begun:
-            # The endpoint's own answer tells the caller more than ours would.
-            await call.pass_on(call.failure)
+            # The endpoint's own response tells the caller more than a refusal would.
+            await call.forward_response(call.failure)
             return "failed_by_endpoint"
-        return await self._give_up(call, refusal)
+        return await self._refuse(call, refusal)
 
-    async def _give_up(self, call: Call, refusal: Refusal) -> str:
+    async def _refuse(self, call: Call, refusal: Refusal) -> str:
         if call.responder.begun:
             return "cut"
         if call.progress.may_have_run and refusal.status == 503:
--- a/packages/daemon/src/knapweedbridge_daemon/serving/call_terms.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/call_terms.py
@@ -1,4 +1,4 @@
-"""On which terms a caller's request is run: its route and its client account."""
+"""Resolves a request to its route and client account."""
 
 from dataclasses import dataclass
 
@@ -10,33 +10,33 @@
 from knapweedbridge_daemon.serving.hub import Hub
 from knapweedbridge_daemon.serving.wire import get_header
 
-START_AFTER_S = 0.5
-"""When a caller should come back to a daemon that knows no configuration yet."""
+NO_CONFIGURATION_RETRY_AFTER_S = 0.5
+"""Retry-After of a daemon that has no configuration yet."""
 
-BEHIND_S = 1.9
-"""Age of what is known of the store past which a route or a key may stand there that
-this daemon does not know: operators of small pools count on 2 s, of large ones on 3 s.
+MAX_STATE_AGE_S = 1.9
+"""Age of the cluster state past which the store may hold a route or a key that this
+daemon does not know: operators of small pools count on 2 s, of large ones on 3 s.
 """
 
-LOOK_UP_S = 0.3
-"""How long a request waits for newer news: the store is asked meanwhile."""
+REFRESH_TIMEOUT_S = 0.3
+"""How long a request waits for a newer cluster state."""
 
-UNKNOWN_AFTER_S = 0.5
-"""When to come back after that: to another daemon, which may know."""
+STALE_RETRY_AFTER_S = 0.5
+"""Retry-After where no newer state came in that time: another daemon may have it."""
 
 
 @dataclass(slots=True, frozen=True)
 class CallTerms:
-    """What the configuration says of a request.
+    """The route and the client account of a request.
 
     Parameters
     ----------
     deployment : Deployment
         The configuration in force.
     route : Route
-        The route that takes it, with the rank that its account has.
+        The matching route, with the priority of the client account.
     account : ClientAccount or None
-        Whose call it is; None where no known key was shown.
+        Client account of the request; None where it has no known key.
     """
 
     deployment: Deployment
@@ -45,12 +45,12 @@
 
 
 class TermsFinder:
-    """Finds the terms of requests, or why there are none.
+    """Finds the terms of requests.
 
     Parameters
     ----------
     hub : Hub
-        Beliefs, and how old they are.
+        The daemon's cluster state and its age.
     """
 
     def __init__(self, hub: Hub) -> None:
@@ -59,40 +59,40 @@
     async def find(
         self, request: ReceivedRequest, details: CallDetails
     ) -> CallTerms | Refusal:
-        """Return a request's terms, or the refusal of one that has none.
+        """Return the terms of a request, or its refusal.
 
-        A daemon that had not heard of the store for long refused new keys for good,
-        as clients don't return after 401 and 404. While its news is old it waits for
-        newer ones first, and then answers that the call was not run.
+        Clients don't retry after 401 and 404, so a daemon with an outdated cluster
+        state must not refuse new keys and routes with these. It waits for a newer state
+        first, and then answers 503, which says that the call was not run.
         """
-        found = self._known(request, details)
+        found = self._resolve(request, details)
         if not self._is_final(found):
-            found = await self._look_up(request, details)
+            found = await self._wait_for_terms(request, details)
         return found
 
-    async def _look_up(
+    async def _wait_for_terms(
         self, request: ReceivedRequest, details: CallDetails
     ) -> CallTerms | Refusal:
-        until_s = anyio.current_time() + LOOK_UP_S
+        until_s = anyio.current_time() + REFRESH_TIMEOUT_S
         while anyio.current_time() < until_s:
             await self._hub.cluster_changed.wait(until_s - anyio.current_time())
-            found = self._known(request, details)
+            found = self._resolve(request, details)
             if self._is_final(found):
                 return found
-        return Refusal(503, "news_too_old", UNKNOWN_AFTER_S)
+        return Refusal(503, "news_too_old", STALE_RETRY_AFTER_S)
 
     def _is_final(self, found: CallTerms | Refusal) -> bool:
         if not isinstance(found, Refusal) or found.status not in (401, 404):
             return True
-        return self._hub.news_age_s < BEHIND_S
+        return self._hub.news_age_s < MAX_STATE_AGE_S
 
-    def _known(
+    def _resolve(
         self, request: ReceivedRequest, details: CallDetails
     ) -> CallTerms | Refusal:
         deployment = self._hub.cluster.deployment
         if deployment is None:
-            return Refusal(503, "no_configuration", START_AFTER_S)
-        route = _route_of(deployment, request)
+            return Refusal(503, "no_configuration", NO_CONFIGURATION_RETRY_AFTER_S)
+        route = _match_route(deployment, request)
         if route is None:
             return Refusal(404, "no_route")
         account = deployment.find_account(details.key_digest)
@@ -101,7 +101,7 @@
         return CallTerms(deployment, route.for_account(account), account)
 
 
-def _route_of(deployment: Deployment, request: ReceivedRequest) -> Route | None:
+def _match_route(deployment: Deployment, request: ReceivedRequest) -> Route | None:
     host = get_header(request.head.headers, b"host") or ""
     name = host.partition(":")[0]
     return deployment.match(name, request.head.path)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/callers_app.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/callers_app.py
@@ -1,4 +1,4 @@
-"""What is done with each request of a caller."""
+"""Handles the requests of callers."""
 
 import traceback
 from collections.abc import Iterator
@@ -22,69 +22,73 @@
 from knapweedbridge_daemon.serving.hub import Hub
 from knapweedbridge_daemon.serving.wire import get_header
 
-STOPPING_AFTER_S = 0.05
-"""When to come back after a refusal of a daemon that stops: another takes it at once.
-"""
+STOPPING_RETRY_AFTER_S = 0.05
+"""Retry-After of a stopping daemon: another one takes the request at once."""
 
 KEY_DIGITS = 8
 """Digits of a key's digest in log lines: enough to tell keys apart, not to guess one.
 """
 
-LAST_PLACES = 4
-"""Lines of a traceback that a log line carries."""
+MAX_TRACEBACK_LINES = 4
+"""Lines of a traceback in a log line."""
 
-DEADLINE_S = 60.0
-"""Deadline of a call that names none and whose route has no timeout."""
+DEFAULT_DEADLINE_S = 60.0
+"""Deadline of a call that states none; the route's timeout applies as well."""
 
 
 class CallersApp:
-    """Routes requests and runs them.
+    """Routes the requests of callers and runs them.
 
     Parameters
     ----------
     hub : Hub
-        Beliefs, dialects and measures.
+        The daemon's cluster state, dialects and metrics.
     runner : CallRunner
         Runs the calls.
-    shares : AccountQuotas
-        What client accounts may use.
+    quotas : AccountQuotas
+        Quotas of the client accounts.
+
+    Attributes
+    ----------
+    running : int
+        Requests that are being handled.
     """
 
-    def __init__(self, hub: Hub, runner: CallRunner, shares: AccountQuotas) -> None:
+    def __init__(self, hub: Hub, runner: CallRunner, quotas: AccountQuotas) -> None:
         self._hub = hub
         self._runner = runner
-        self._shares = shares
+        self._quotas = quotas
         self._terms = TermsFinder(hub)
         self._scopes: set[anyio.CancelScope] = set()
         self._is_ending = False
         self.running = 0
 
     def limits(self) -> RequestLimits:
-        """Return the bounds on what callers send."""
+        """Return the size and time limits of requests."""
         deployment = self._hub.cluster.deployment
         return deployment.limits if deployment else RequestLimits()
 
     def count_bad_request(self, error: BadRequestError) -> None:
-        """Count a request that could not be read."""
+        """Count and log a request that could not be parsed."""
         self._hub.metrics.count("bad_requests", str(error.status))
         self._hub.log.info("request.bad", status=error.status, error=str(error))
 
     def count_internal_error(self, error: Exception) -> None:
-        """Count an error of the daemon's own code, with its place."""
+        """Count and log an unexpected exception, with the end of its traceback."""
         self._hub.metrics.count("internal_errors")
         while isinstance(error, ExceptionGroup):
             error = error.exceptions[0]
-        places = "".join(traceback.format_exception(error)[-LAST_PLACES:])
-        self._hub.log.error("daemon.fault", error=repr(error), places=places)
+        trace = "".join(traceback.format_exception(error)[-MAX_TRACEBACK_LINES:])
+        self._hub.log.error("daemon.fault", error=repr(error), places=trace)
 
     def end_calls(self) -> None:
-        """End all calls; those whose answer has not begun are answered at once."""
+        """Cancel all calls; those without a started response are answered at once."""
         self._is_ending = True
         for scope in self._scopes:
             scope.cancel()
 
     async def handle(self, request: ReceivedRequest, responder: Responder) -> None:
-        """Answer one request."""
+        """Handle one request."""
         self.running += 1
         try:
             await self._handle(request, responder)
@@ -101,14 +105,14 @@
             return
         terms = await self._terms.find(request, details)
         if isinstance(terms, CallTerms) and self._ends_before(terms.route):
-            terms = Refusal(503, "stopping", STOPPING_AFTER_S)
+            terms = Refusal(503, "stopping", STOPPING_RETRY_AFTER_S)
         if isinstance(terms, Refusal):
             await self._refuse(request, responder, terms, details)
             return
         await self._run(request, responder, terms, details)
 
     def _ends_before(self, route: Route) -> bool:
-        # A call that is still running when the daemon must end would be cut.
+        # A call that still runs when the daemon exits would be cut off.
         ends_s = self._hub.ends_s
         if ends_s is None:
             return False
@@ -144,7 +148,9 @@
     ) -> None:
         route = terms.route
         stated_s = details.deadline_s
-        allowed_s = min(DEADLINE_S if stated_s is None else stated_s, route.timeout_s)
+        allowed_s = min(
+            DEFAULT_DEADLINE_S if stated_s is None else stated_s, route.timeout_s
+        )
         if allowed_s <= 0:
             await self._refuse(request, responder, Refusal(503, "too_late"), details)
             return
@@ -155,7 +161,7 @@
             route.choose_service(details.stream_id),
             details,
             request.received_s + allowed_s,
-            mark=_mark(request, terms),
+            mark=_fingerprint_request(request, terms),
             parts=shared_parts(details.prompt_parts),
             spent_s=self._hub.deadlines.spent_s(
                 route.name, details.deadline_s, request.received_s
@@ -166,29 +172,29 @@
         self._hub.budget.record_daemons(self._hub.daemons, anyio.current_time())
         self._hub.budget.record_request(call.service, anyio.current_time())
         outcome = "caller_left"
-        blamed_s = self._hub.crashes.refused_for_s(
+        refused_for_s = self._hub.crashes.refused_for_s(
             call.mark, anyio.current_time(), call.parts
         )
-        if blamed_s:
-            refusal = Refusal(503, "blamed", blamed_s)
+        if refused_for_s:
+            refusal = Refusal(503, "blamed", refused_for_s)
             self._hub.log.info(
                 "call.blamed",
                 request=details.call_id,
                 mark=call.mark[:MARK_DIGITS],
                 parts=[part[:MARK_DIGITS] for part in call.parts],
-                refused_for_s=round(blamed_s, 1),
+                refused_for_s=round(refused_for_s, 1),
             )
             await self._refuse(request, responder, refusal, details)
             return
-        over_quota = await self._shares.take(call.account, details.tokens)
+        over_quota = await self._quotas.take(call.account, details.tokens)
         if over_quota is not None:
             await self._refuse(request, responder, over_quota, details)
             return
         try:
-            with self._bounded(call.deadline_s) as bound:
+            with self._limit_time(call.deadline_s) as scope:
                 outcome = await self._runner.run(call)
-            if bound.cancelled_caught:
-                outcome = await self._break_off(call)
+            if scope.cancelled_caught:
+                outcome = await self._answer_cancelled(call)
         except CallerDisconnectedError:
             raise
         except Exception:
@@ -196,12 +202,12 @@
             raise
         finally:
             if not call.progress.may_have_run:
-                self._shares.give_back(call.account, details.tokens)
-            self._note(call, outcome, terms.deployment.version)
+                self._quotas.give_back(call.account, details.tokens)
+            self._record_end(call, outcome, terms.deployment.version)
 
     @contextmanager
-    def _bounded(self, deadline_s: float) -> Iterator[anyio.CancelScope]:
-        """Bound a call by its deadline, and by the end of all calls."""
+    def _limit_time(self, deadline_s: float) -> Iterator[anyio.CancelScope]:
+        """Cancel a call at its deadline, or when all calls are ended."""
         with anyio.CancelScope(deadline=deadline_s) as scope:
             self._scopes.add(scope)
             if self._is_ending:
@@ -211,24 +217,25 @@
             finally:
                 self._scopes.discard(scope)
 
-    async def _break_off(self, call: Call) -> str:
-        """Answer a call that has reached its bound."""
+    async def _answer_cancelled(self, call: Call) -> str:
+        """Answer a call that was cancelled; return its outcome."""
         if call.responder.begun:
             return "cut_at_stop" if self._is_ending else "cut_at_timeout"
-        refusal = self._unfinished(call.progress.sends > 0)
+        refusal = self._make_refusal(call.progress.sends > 0)
         headers, body = self._hub.dialects.callers.refusal(refusal)
         await call.responder.answer(refusal.status, headers, body)
         return refusal.reason
 
-    def _unfinished(self, was_sent: bool) -> Refusal:
+    def _make_refusal(self, was_sent: bool) -> Refusal:
         if self._is_ending:
-            # What was sent may have run: only a call that was not is sent elsewhere.
+            # A call that was sent may have run, so only one that was not may be
+            # retried elsewhere.
             if was_sent:
                 return Refusal(504, "stopping")
-            return Refusal(503, "stopping", STOPPING_AFTER_S)
+            return Refusal(503, "stopping", STOPPING_RETRY_AFTER_S)
         return Refusal(504, "timeout") if was_sent else Refusal(503, "no_place", 0.5)
 
-    def _note(self, call: Call, outcome: str, version: int) -> None:
+    def _record_end(self, call: Call, outcome: str, version: int) -> None:
         now_s = anyio.current_time()
         self._hub.metrics.count("requests", outcome)
         self._hub.metrics.time("request_seconds", now_s - call.request.received_s)
@@ -257,8 +264,8 @@
         )
 
 
-def _mark(request: ReceivedRequest, terms: CallTerms) -> str:
-    """Return what a request is known by when its caller sends it again."""
+def _fingerprint_request(request: ReceivedRequest, terms: CallTerms) -> str:
+    """Return the fingerprint by which a repeated request is recognized."""
     head, account = request.head, terms.account
     return fingerprint(
         account.name if account else "",
--- a/packages/daemon/src/knapweedbridge_daemon/serving/client_streams.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/client_streams.py
@@ -1,15 +1,15 @@
-"""What a connection to a server is to the code that writes requests to it."""
+"""Interface of connections to servers."""
 
 from abc import ABC, abstractmethod
 
 
 class ClientStream(ABC):
-    """A connection to a server, made by this host or carried by another.
+    """A connection to a server, made by this host or forwarded by another.
 
     Attributes
     ----------
     forwarder : str
-        Host that carries it; empty where it is this host's own.
+        Host that forwards the connection; empty where it is this host's own.
     """
 
     forwarder: str = ""
@@ -17,15 +17,15 @@
     @property
     @abstractmethod
     def has_news(self) -> bool:
-        """Whether bytes or an end wait to be read."""
+        """Whether data or the end of the stream can be read."""
 
     @abstractmethod
     def fileno(self) -> int:
-        """Return the socket's descriptor."""
+        """Return the socket's file descriptor."""
 
     @abstractmethod
     async def receive(self) -> bytes:
-        """Return all bytes that came; none are returned at an orderly end.
+        """Return the received bytes; empty at an orderly end of the stream.
 
         Raises
         ------
@@ -35,14 +35,14 @@
 
     @abstractmethod
     async def send(self, data: bytes) -> None:
-        """Write bytes, and wait until the kernel has them.
+        """Write bytes, and wait until the kernel has taken them.
 
         Raises
         ------
         ConnectionError
-            If the connection is gone.
+            If the connection is broken.
         """
 
     @abstractmethod
     def close(self) -> None:
-        """Close the connection; what it still carried is lost."""
+        """Close the connection; data under way is lost."""
--- a/packages/daemon/src/knapweedbridge_daemon/serving/crash_watch.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/crash_watch.py
@@ -1,4 +1,4 @@
-"""Finds out which endpoints were lost with calls, and has hosts blame those calls."""
+"""Detects endpoints that crashed during calls, and reports those calls as suspects."""
 
 from dataclasses import dataclass
 
@@ -29,36 +29,38 @@
 from knapweedbridge_daemon.serving.hub import Hub, Send
 from knapweedbridge_daemon.serving.loss_detection import detect_loss
 
-LOOK_S = 0.5
-"""Longest pause between looks for endpoints that were replaced."""
+POLL_INTERVAL_S = 0.5
+"""Longest pause between checks for endpoints that were replaced."""
 
-SILENT_S = 2.0
-"""Silence after which an endpoint is probed; a second of it is no failure."""
+SILENCE_TIMEOUT_S = 2.0
+"""Silence after which an endpoint is probed; one second of silence is no failure."""
 
-PROBE_EVERY_S = 1.0
+PROBE_INTERVAL_S = 1.0
 """Pause between probes of one endpoint: an endpoint accepts connections slowly."""
 
-ACCUSED_S = 10.0
-"""How long another host may answer that a part which this one accuses is sound."""
+CONTRADICTION_TIMEOUT_S = 10.0
+"""How long another host may contradict this one's report that a part is suspect."""
 
-PROBE_S = 1.0
-"""How long a probe may take: health waits for a slot as calls do."""
+PROBE_TIMEOUT_S = 1.0
+"""Timeout of a probe: a health check waits for a slot as calls do."""
 
-MOST_PROBES = 16
-"""Probes at once; losses beyond them show by the platform's list."""
+MAX_PROBES = 16
+"""Probes at once; further losses are detected by the platform's list."""
 
 
 @dataclass(slots=True, frozen=True)
 class Suspicion:
-    """An endpoint that may be gone.
+    """An endpoint that may have crashed.
 
     Parameters
     ----------
+    endpoint : Endpoint
+        The endpoint.
     sent_s : float
-        When an attempt was sent there that got no whole answer, on the event loop's
+        When the attempt that got no complete response was sent, on the event loop's
         clock.
     is_closed : bool
-        Whether its connection broke.
+        Whether the connection broke.
     """
 
     endpoint: Endpoint
@@ -70,67 +72,68 @@
 
 
 class CrashWatch:
-    """Blames the calls that endpoints were lost with, and parts of their prompts.
+    """Reports calls, and parts of their prompts, that endpoints crashed with.
 
     Parameters
     ----------
     hub : Hub
-        Beliefs, connections and the ledger of crashes.
+        The daemon's cluster state, connections and ledger of crashes.
     send : callable
         Sends a message to a daemon.
 
     Attributes
     ----------
     cleared_calls : set of str
-        Calls that got answers, whose refusal the store must not say any more.
+        Fingerprints of calls that got responses, whose refusals are to be removed from
+        the store.
     """
 
     def __init__(self, hub: Hub, send: Send) -> None:
         self._hub = hub
         self._send = send
         self._notifier = BlameNotifier(hub, send)
-        hub.crashes.parts.turn_of = self._turn_of
+        hub.crashes.parts.turn_of = self._publishing_rank
         self.cleared_calls: set[str] = set()
-        self._found: list[tuple[str, LossEvidence]] = []
+        self._to_notify: list[tuple[str, LossEvidence]] = []
         self._cleared: list[str] = []
-        self._held: tuple[set[str], set[str]] = (set(), set())
-        self._accused_s: dict[str, float] = {}
+        self._to_hold: tuple[set[str], set[str]] = (set(), set())
+        self._reported_s: dict[str, float] = {}
         self._lost: list[tuple[str, str]] = []
         self._to_probe: list[Suspicion] = []
         self._probed_s: dict[str, float] = {}
         self._probing: set[str] = set()
 
-    def _turn_of(self, mark: str) -> int:
-        """Return this host's place among those that publish a refusal, the first: 0."""
+    def _publishing_rank(self, mark: str) -> int:
+        """Return this host's rank among the publishers of a refusal; 0 is the first."""
         coordinators, own = self._notifier.coordinators(mark), self._hub.identity.name
         return coordinators.index(own) if own in coordinators else len(coordinators)
 
-    def attempt_ended(
+    def record_failed_attempt(
         self,
         call: Call,
         endpoint: Endpoint,
         sent_s: float | None,
         is_closed: bool,
-        has_stayed: bool,
+        has_survived: bool,
     ) -> None:
-        """Record that an attempt ended without a whole answer.
+        """Record that an attempt ended without a complete response.
 
         Parameters
         ----------
         sent_s : float or None
-            When it was sent, on the event loop's clock; None: it was not.
+            When the attempt was sent, on the event loop's clock; None: it was not.
         is_closed : bool
-            Whether its connection broke, so that the endpoint may be gone by now.
-        has_stayed : bool
-            Whether the endpoint ran on after it had begun the answer.
+            Whether its connection broke, so that the endpoint may have crashed.
+        has_survived : bool
+            Whether the endpoint kept running after it had started to respond.
         """
         if sent_s is None:
             return
         now_s = loop_time_s()
         crashes = self._hub.crashes
-        parts = () if has_stayed else call.parts
+        parts = () if has_survived else call.parts
         is_suspected = bool(crashes.find_suspects(call.mark, parts, now_s))
-        is_probed = self._probe_once(Suspicion(endpoint, sent_s, is_closed), now_s)
+        is_probed = self._schedule_probe(Suspicion(endpoint, sent_s, is_closed), now_s)
         found = crashes.ended(
             call.mark,
             endpoint.start,
@@ -141,48 +144,48 @@
             is_judged=not (is_suspected or (is_closed and is_probed)),
         )
         if found is not None:
-            self._found.append((loss_id(endpoint.start), found))
+            self._to_notify.append((loss_id(endpoint.start), found))
         elif is_suspected:
-            self._hold(call, parts, now_s)
+            self._add_held(call, parts, now_s)
         self._hub.losses_changed.tell()
 
-    def _hold(self, call: Call, parts: tuple[str, ...], now_s: float) -> None:
-        marks, held_parts = self._held
+    def _add_held(self, call: Call, parts: tuple[str, ...], now_s: float) -> None:
+        marks, held_parts = self._to_hold
         marks.update((call.mark, request_digest(call.mark)))
         held_parts.update(self._hub.crashes.parts.suspected(parts, now_s))
 
-    def _probe_once(self, suspicion: Suspicion, now_s: float) -> bool:
-        """Have an endpoint probed, unless that was done of late.
+    def _schedule_probe(self, suspicion: Suspicion, now_s: float) -> bool:
+        """Schedule a probe of an endpoint, unless it was probed recently.
 
         Returns
         -------
         is_probed : bool
-            Whether a probe will tell what has become of it.
+            Whether a probe of the endpoint is scheduled or under way.
         """
         recent = self._probed_s.items()
         self._probed_s = {
-            name: at_s for name, at_s in recent if now_s - at_s < PROBE_EVERY_S
+            name: at_s for name, at_s in recent if now_s - at_s < PROBE_INTERVAL_S
         }
         name = suspicion.endpoint.name
         if name in self._probing:
             return True
-        if name in self._probed_s or len(self._probed_s) >= MOST_PROBES:
+        if name in self._probed_s or len(self._probed_s) >= MAX_PROBES:
             return False
         self._probed_s[name] = now_s
         self._probing.add(name)
         self._to_probe.append(suspicion)
         return True
 
-    def note_lost(self, endpoint: str, cause: str) -> None:
-        """Record that an endpoint is gone; see `record_endpoint_lost`."""
+    def report_loss(self, endpoint: str, cause: str) -> None:
+        """Schedule `record_endpoint_lost` for an endpoint that is gone."""
         self._lost.append((endpoint, cause))
         self._hub.losses_changed.tell()
 
     async def run(self, tasks: TaskGroup) -> None:
-        """Draw conclusions until cancelled."""
+        """Probe endpoints and notify other hosts until cancelled."""
         while True:
             if not self._has_work():
-                await self._hub.losses_changed.wait(LOOK_S)
+                await self._hub.losses_changed.wait(POLL_INTERVAL_S)
             for name in self._hub.cluster.fleet.pop_replaced():
                 if self._hub.crashes.has_recent_failure(name, loop_time_s()):
                     self._lost.append((name, "replaced"))
@@ -190,18 +193,18 @@
             while self._lost:
                 await self.record_endpoint_lost(*self._lost.pop())
             await self._clear()
-            while self._found:
-                loss, found = self._found.pop()
+            while self._to_notify:
+                loss, found = self._to_notify.pop()
                 await self._notify({loss: found}, "known")
             while self._to_probe:
                 tasks.start_soon(self._probe, self._to_probe.pop())
 
     def _has_work(self) -> bool:
-        waiting = self._lost, self._found, self._to_probe, self._cleared
-        return any((*waiting, *self._held, self._hub.crashes.parts.to_clear))
+        waiting = self._lost, self._to_notify, self._to_probe, self._cleared
+        return any((*waiting, *self._to_hold, self._hub.crashes.parts.to_clear))
 
     async def _notify_held(self) -> None:
-        (marks, parts), self._held = self._held, (set(), set())
+        (marks, parts), self._to_hold = self._to_hold, (set(), set())
         if marks or parts:
             await self._notifier.notify_held(marks, parts)
 
@@ -214,27 +217,30 @@
         await self._notifier.notify_parts_cleared(parts)
 
     async def _probe(self, suspicion: Suspicion) -> None:
-        """Find out whether an endpoint that calls broke off at is gone."""
+        """Find out whether an endpoint that calls failed at is gone."""
         try:
-            await self._ask_health(suspicion)
+            await self._check_health(suspicion)
         finally:
             self._probing.discard(suspicion.endpoint.name)
 
-    async def _ask_health(self, suspicion: Suspicion) -> None:
-        """Ask an endpoint for its health; another may stand at its address by now.
+    async def _check_health(self, suspicion: Suspicion) -> None:
+        """Send a health check to an endpoint's address.
 
-        Where no connection stands other hosts are asked for one.
+        Another endpoint may have that address by now. Where this host has no connection
+        other hosts are asked to forward the check.
         """
-        endpoint, cause, lives = suspicion.endpoint, "", False
+        endpoint, cause, is_alive = suspicion.endpoint, "", False
         if not suspicion.is_closed:
-            await anyio.sleep(max(0.0, suspicion.sent_s + SILENT_S - loop_time_s()))
+            await anyio.sleep(
+                max(0.0, suspicion.sent_s + SILENCE_TIMEOUT_S - loop_time_s())
+            )
             if endpoint.answered_s > suspicion.sent_s:
-                self._note_lives(endpoint)
+                self._record_alive(endpoint)
                 return
         try:
-            with anyio.move_on_after(PROBE_S):
+            with anyio.move_on_after(PROBE_TIMEOUT_S):
                 cause = await detect_loss(self._hub, endpoint)
-                lives = not cause
+                is_alive = not cause
         except NotSentError as error:
             cause = "unreachable" if error.is_lost else ""
         except ConnectionBrokenError as error:
@@ -247,29 +253,29 @@
             await self.record_endpoint_lost(
                 endpoint.name, cause, endpoint.start.started_ms
             )
-        elif lives:
-            self._note_lives(endpoint)
+        elif is_alive:
+            self._record_alive(endpoint)
 
-    def _note_lives(self, endpoint: Endpoint) -> None:
-        """Let calls go on that waited for the judgement of an endpoint's loss."""
+    def _record_alive(self, endpoint: Endpoint) -> None:
+        """Record that an endpoint is alive, and release calls delayed by its loss."""
         self._hub.crashes.record_alive(endpoint.start, loop_time_s())
         self._hub.losses_changed.tell()
 
     async def record_unlisted(self, endpoint: str) -> None:
-        """Record that an endpoint's entry was removed."""
+        """Record that an endpoint's entry was removed from the platform's list."""
         await self.record_endpoint_lost(endpoint, "unlisted")
 
     async def record_endpoint_lost(
         self, endpoint: str, cause: str, started_ms: int = 0
     ) -> None:
-        """Blame the calls that an endpoint was lost with, on all daemons.
+        """Record that an endpoint is gone, and report its calls as suspects.
 
         Parameters
         ----------
         cause : str
-            What shows the loss, for the log.
+            How the loss was detected, for the log.
         started_ms : int
-            Which start of the endpoint it was; 0: any.
+            Start time of the lost instance; 0: any.
         """
         found = self._hub.crashes.lost(
             EndpointStart(endpoint, started_ms), loop_time_s()
@@ -280,31 +286,33 @@
 
     async def _notify(self, found: dict[str, LossEvidence], cause: str) -> None:
         now_s = loop_time_s()
-        accused = self._accused_s.items()
-        self._accused_s = {
-            part: at_s for part, at_s in accused if now_s - at_s < ACCUSED_S
+        reported = self._reported_s.items()
+        self._reported_s = {
+            part: at_s
+            for part, at_s in reported
+            if now_s - at_s < CONTRADICTION_TIMEOUT_S
         }
         for held in found.values():
             parts = {part for call in held.calls for part in call.parts}
-            self._accused_s |= dict.fromkeys(parts, now_s)
+            self._reported_s |= dict.fromkeys(parts, now_s)
         await self._notifier.notify_losses(found, cause)
         self._hub.losses_changed.tell()
 
-    def answered(self, call: Call) -> None:
-        """Record that a call got a whole answer."""
+    def record_answer(self, call: Call) -> None:
+        """Record that a call got a complete response."""
         if self._hub.crashes.answered(call.mark):
             self._cleared.append(call.mark)
-        self.begun(call)
+        self.record_survival(call)
 
-    def begun(self, call: Call) -> None:
-        """Record that an endpoint that stayed has begun a call's answer."""
+    def record_survival(self, call: Call) -> None:
+        """Record that an endpoint survived the parts of a call's prompt."""
         ledger = self._hub.crashes.parts
         ledger.begun(call.parts, loop_time_s())
         if self._cleared or ledger.to_clear:
             self._hub.losses_changed.tell()
 
     async def handle(self, daemon: str, message: LossMessage) -> None:
-        """Receive what another daemon knows of losses."""
+        """Handle a message of another daemon about losses."""
         now_s, crashes = loop_time_s(), self._hub.crashes
         match message:
             case CallsBlamed():
@@ -316,24 +324,29 @@
                     crashes.answered(mark)
                     self.cleared_calls.add(mark)
             case PartsBlamed():
-                await self._accused(daemon, message, now_s)
+                await self._handle_parts_blamed(daemon, message, now_s)
             case PartsCleared():
-                self._contradicted(message, now_s)
+                self._handle_parts_cleared(message, now_s)
             case SuspectsHeld():
                 crashes.hold(message.fingerprints, message.parts, now_s)
         self._hub.losses_changed.tell()
 
-    async def _accused(self, daemon: str, message: PartsBlamed, now_s: float) -> None:
-        """Receive another host's accusation, and object where a part is sound."""
+    async def _handle_parts_blamed(
+        self, daemon: str, message: PartsBlamed, now_s: float
+    ) -> None:
+        """Record parts that another host suspects, and answer which are safe."""
         at_s = now_s - max(0.0, message.age_s)
         self._hub.crashes.record_loss_time(message.loss.partition(" ")[0], at_s)
         calls = lost_calls(message)
-        sound = self._hub.crashes.parts.blamed(message.loss, calls, at_s)
-        if sound:
-            await self._send(daemon, PartsCleared(sound))
+        safe = self._hub.crashes.parts.blamed(message.loss, calls, at_s)
+        if safe:
+            await self._send(daemon, PartsCleared(safe))
 
-    def _contradicted(self, message: PartsCleared, now_s: float) -> None:
-        """Receive that parts are sound; those that were told of a loss are told so."""
+    def _handle_parts_cleared(self, message: PartsCleared, now_s: float) -> None:
+        """Record that parts are safe.
+
+        Those that this host has reported are cleared at other hosts too.
+        """
         ledger = self._hub.crashes.parts
         known = ledger.record_safe(message.parts, now_s)
-        ledger.to_clear.update(part for part in known if part in self._accused_s)
+        ledger.to_clear.update(part for part in known if part in self._reported_s)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/event_stream.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/event_stream.py
@@ -1,7 +1,7 @@
-"""Streams of events as an endpoint sends them: cut into whole events, with their ids.
+"""Splits event streams of endpoints into complete events.
 
-Only whole events are passed on, so that a stream which breaks in the middle of one
-can be continued, on another endpoint, after the last that the caller has.
+Only complete events are forwarded, so that a stream that breaks in the middle of one
+can be continued by another endpoint after the last event that the caller has.
 """
 
 import re
@@ -10,21 +10,21 @@
 from knapweedbridge_daemon.sse import END_OF_EVENT, MAX_EVENT_BYTES, BrokenEventsError
 
 _ID = re.compile(rb"(?:^|\n)id: ?([^\r\n]*)")
-_PLAIN_END = b"\n\n"
+_LF_END = b"\n\n"
 
 
 @dataclass(slots=True, frozen=True)
-class WholeEvents:
-    """Events that one chunk completed.
+class CompleteEvents:
+    """The events that one chunk completed.
 
     Parameters
     ----------
     data : bytes
-        The events, with their ends.
+        The events with their terminators.
     count : int
-        How many.
+        Number of events.
     last_id : str or None
-        Id of the last of them that has one.
+        Id of the last event that has one.
     """
 
     data: bytes
@@ -32,28 +32,29 @@
     last_id: str | None
 
 
-def _plain_events(chunk: bytes) -> WholeEvents | None:
-    """Take a chunk of whole events whose last has an id, as most are, in few steps.
+def _split_simple(chunk: bytes) -> CompleteEvents | None:
+    """Return the events of a chunk in the common case, by a fast path.
 
-    Returns None for any other chunk.
+    The chunk must consist of complete events with LF line ends, the last of them with
+    an id; None is returned for any other chunk.
     """
-    first = chunk.find(_PLAIN_END)
+    first = chunk.find(_LF_END)
     if first < 1 or b"\r" in chunk:
         return None
     count, last = 1, chunk
-    if first != len(chunk) - len(_PLAIN_END):
-        if not chunk.endswith(_PLAIN_END) or b"\n\n\n" in chunk:
+    if first != len(chunk) - len(_LF_END):
+        if not chunk.endswith(_LF_END) or b"\n\n\n" in chunk:
             return None
-        count = chunk.count(_PLAIN_END)
-        last = chunk[chunk.rfind(_PLAIN_END, 0, -1) + len(_PLAIN_END) :]
+        count = chunk.count(_LF_END)
+        last = chunk[chunk.rfind(_LF_END, 0, -1) + len(_LF_END) :]
     found = _ID.search(last)
     if found is None:
         return None
-    return WholeEvents(chunk, count, found[1].decode("latin-1"))
+    return CompleteEvents(chunk, count, found[1].decode("latin-1"))
 
 
 class EventSplitter:
-    """Cuts the chunks of one answer into whole events.
+    """Splits the chunks of one response into complete events.
 
     Parameters
     ----------
@@ -62,50 +63,52 @@
     """
 
     def __init__(self, after: str | None = None) -> None:
-        self._held = b""
+        self._buffer = b""
         self._after = int(after) if after and after.isdecimal() else None
 
     @property
     def rest(self) -> bytes:
-        """What follows the last whole event."""
-        return self._held
+        """Data after the last complete event."""
+        return self._buffer
 
-    def feed(self, chunk: bytes) -> WholeEvents:
-        """Take a chunk and return the events that it completed.
+    def feed(self, chunk: bytes) -> CompleteEvents:
+        """Add a chunk and return the events that it completes.
 
         Raises
         ------
         BrokenEventsError
             If an event is longer than `MAX_EVENT_BYTES`.
         """
-        if not self._held and self._after is None:
-            plain = _plain_events(chunk)
-            if plain is not None:
-                return plain
-        buffer = self._held + chunk
+        if not self._buffer and self._after is None:
+            simple = _split_simple(chunk)
+            if simple is not None:
+                return simple
+        data = self._buffer + chunk
         events: list[bytes] = []
         start = 0
-        for end in END_OF_EVENT.finditer(buffer):
-            events.append(buffer[start : end.end()])
+        for end in END_OF_EVENT.finditer(data):
+            events.append(data[start : end.end()])
             start = end.end()
-        self._held = buffer[start:]
-        if len(self._held) > MAX_EVENT_BYTES:
-            raise BrokenEventsError(f"{len(self._held)} bytes without an end")
-        return self._wanted(events)
-
-    def _wanted(self, events: list[bytes]) -> WholeEvents:
+        self._buffer = data[start:]
+        if len(self._buffer) > MAX_EVENT_BYTES:
+            raise BrokenEventsError(
+                f"{len(self._buffer)} bytes without the end of an event"
+            )
+        return self._drop_known(events)
+
+    def _drop_known(self, events: list[bytes]) -> CompleteEvents:
         kept: list[bytes] = []
         last_id = None
         for event in events:
             found = _ID.search(event)
-            named = found[1].decode("latin-1") if found else None
-            if self._is_known(named):
+            event_id = found[1].decode("latin-1") if found else None
+            if self._is_known(event_id):
                 continue
             kept.append(event)
-            last_id = named if named is not None else last_id
-        return WholeEvents(b"".join(kept), len(kept), last_id)
+            last_id = event_id if event_id is not None else last_id
+        return CompleteEvents(b"".join(kept), len(kept), last_id)
 
-    def _is_known(self, named: str | None) -> bool:
-        if self._after is None or named is None or not named.isdecimal():
+    def _is_known(self, event_id: str | None) -> bool:
+        if self._after is None or event_id is None or not event_id.isdecimal():
             return False
-        return int(named) <= self._after
+        return int(event_id) <= self._after
--- a/packages/daemon/src/knapweedbridge_daemon/serving/first_byte_timeouts.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/first_byte_timeouts.py
@@ -1,4 +1,4 @@
-"""How long attempts are waited for until they begin."""
+"""Timeouts of attempts that have not started to respond."""
 
 import math
 from collections import defaultdict
@@ -12,108 +12,119 @@
 from knapweedbridge_daemon.serving.http_client import ConnectionBrokenError
 
 WITHDRAWAL_MARGIN_S = 0.25
-"""Time before the operators' bound at which an attempt is given up: its connection must
-be closed at the engine by then."""
+"""Time before the operators' bound on a superseded version at which an attempt is given
+up: its connection must be closed at the engine by then."""
 
 
 class FirstByteTimeoutError(ConnectionBrokenError):
-    """An attempt was given up as it had not begun; it may run all the same."""
+    """An attempt was given up before it started to respond; it may run all the same."""
 
 
 class FirstByteTimeout:
-    """The patience with one attempt until its first event, or its answer's head.
+    """The timeout of one attempt until its first event, or its response's head.
 
     Parameters
     ----------
     model : ModelRef or None
-        The adapter that it is for; None: no adapter.
+        The adapter of the attempt; None: no adapter.
     version : int
-        The version that it runs on.
-    silent_until_s : float
-        Until when it may stay silent, on the event loop's clock.
+        The adapter version that the attempt runs on.
+    deadline_s : float
+        When the attempt must have started to respond, on the event loop's clock.
     """
 
     __slots__ = ("model", "scope", "version", "withdrawn_s")
 
-    def __init__(
-        self, model: ModelRef | None, version: int, silent_until_s: float
-    ) -> None:
+    def __init__(self, model: ModelRef | None, version: int, deadline_s: float) -> None:
         self.model = model
         self.version = version
-        self.scope = anyio.CancelScope(deadline=silent_until_s)
+        self.scope = anyio.CancelScope(deadline=deadline_s)
         self.withdrawn_s = math.inf
 
-    def bound(self, withdrawn_s: float) -> None:
-        """Take until when work may begin on the version; then it is given up."""
+    def withdraw_at(self, withdrawn_s: float) -> None:
+        """Give the attempt up at a time, because its version is superseded."""
         self.withdrawn_s = withdrawn_s
         self.scope.deadline = min(self.scope.deadline, withdrawn_s)
 
-    def error(self) -> FirstByteTimeoutError:
-        """Return the error of an attempt that has been given up."""
+    def make_error(self) -> FirstByteTimeoutError:
+        """Return the error of an attempt that was given up."""
         is_superseded = loop_time_s() >= self.withdrawn_s
         return FirstByteTimeoutError("superseded" if is_superseded else "silent")
 
 
 class FirstByteTimeouts:
-    """Bounds the patience with all attempts of one daemon that have not begun.
+    """The timeouts of all attempts of a daemon that have not started to respond.
 
-    A version may be named at any time while they wait, so each naming looks at those of
-    its adapter.
+    A version may be published at any time while attempts wait, which updates the
+    timeouts of that adapter's attempts.
 
     Parameters
     ----------
-    cluster : Beliefs
-        The versions that were named.
+    cluster : ClusterState
+        Holds the published versions.
     steady_s : callable
-        The clock of those.
+        Returns the time on the clock of those versions.
     """
 
-    __slots__ = ("_beliefs", "_steady_s", "_waiting")
+    __slots__ = ("_cluster", "_steady_s", "_waiting")
 
     def __init__(self, cluster: ClusterState, steady_s: Callable[[], float]) -> None:
-        self._beliefs = cluster
+        self._cluster = cluster
         self._steady_s = steady_s
         self._waiting: dict[ModelRef, set[FirstByteTimeout]] = defaultdict(set)
 
     @contextmanager
-    def waiting(self, patience: FirstByteTimeout) -> Iterator[None]:
-        """Run an attempt with patience; raises FirstByteTimeoutError where that has ended."""
-        if patience.model is not None:
-            self._waiting[patience.model].add(patience)
-            self._bound(patience.model, patience)
+    def enforce(self, timeout: FirstByteTimeout) -> Iterator[None]:
+        """Run an attempt with a timeout.
+
+        Raises
+        ------
+        FirstByteTimeoutError
+            If the attempt did not start to respond in time.
+        """
+        if timeout.model is not None:
+            self._waiting[timeout.model].add(timeout)
+            self._update_deadline(timeout.model, timeout)
         try:
-            with patience.scope:
+            with timeout.scope:
                 yield
         finally:
-            self._forget(patience)
-        if patience.scope.cancelled_caught:
-            raise patience.error()
-
-    def begun(self, patience: FirstByteTimeout) -> None:
-        """Take that an attempt has begun; raises FirstByteTimeoutError if that is too late."""
-        if patience.scope.cancel_called:
-            # The answer came as patience ended. The next wait is cancelled, which
-            # would leave the caller's answer begun and unwritten: its connection is
-            # then closed without one. So this answer counts as one that did not come.
-            raise patience.error()
-        patience.scope.deadline = math.inf
-        self._forget(patience)
+            self._forget(timeout)
+        if timeout.scope.cancelled_caught:
+            raise timeout.make_error()
+
+    def record_start(self, timeout: FirstByteTimeout) -> None:
+        """Record that an attempt has started to respond.
+
+        Raises
+        ------
+        FirstByteTimeoutError
+            If the timeout has expired already.
+        """
+        if timeout.scope.cancel_called:
+            # The response arrived just as the timeout expired. The cancelled scope
+            # would interrupt the next wait, with the caller's response started but not
+            # written, so that its connection would be closed without one. So the
+            # response counts as missing.
+            raise timeout.make_error()
+        timeout.scope.deadline = math.inf
+        self._forget(timeout)
 
     def record_version(self, model: ModelRef) -> None:
-        """Take that a version of an adapter was named."""
-        for patience in self._waiting.get(model, ()):
-            self._bound(model, patience)
+        """Update the timeouts of an adapter after one of its versions was published."""
+        for timeout in self._waiting.get(model, ()):
+            self._update_deadline(model, timeout)
 
-    def _bound(self, model: ModelRef, patience: FirstByteTimeout) -> None:
-        until_s = self._beliefs.begins_until_s(model, patience.version)
+    def _update_deadline(self, model: ModelRef, timeout: FirstByteTimeout) -> None:
+        until_s = self._cluster.begins_until_s(model, timeout.version)
         if until_s < math.inf:
             left_s = until_s - self._steady_s()
-            patience.bound(loop_time_s() + left_s - WITHDRAWAL_MARGIN_S)
+            timeout.withdraw_at(loop_time_s() + left_s - WITHDRAWAL_MARGIN_S)
 
-    def _forget(self, patience: FirstByteTimeout) -> None:
-        waiting = self._waiting.get(patience.model) if patience.model else None
+    def _forget(self, timeout: FirstByteTimeout) -> None:
+        waiting = self._waiting.get(timeout.model) if timeout.model else None
         if waiting is None:
             return
-        waiting.discard(patience)
+        waiting.discard(timeout)
         if not waiting:
-            del self._waiting[patience.model]  # type: ignore[arg-type]
+            del self._waiting[timeout.model]  # type: ignore[arg-type]
--- a/packages/daemon/src/knapweedbridge_daemon/serving/placing.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/placing.py
@@ -1,4 +1,4 @@
-"""Finds the endpoint of a call, and waits where its adapter must be loaded."""
+"""Chooses the endpoint of a call, and waits while its adapter is loaded."""
 
 import random
 
@@ -33,53 +33,52 @@
 from knapweedbridge_daemon.serving.peer_link import PeerLink
 
 BUSY_AFTER_S = 0.4
-"""When a refused caller should come back: a load takes 0.25 s."""
+"""Retry-After where no engine has capacity: an adapter load takes 0.25 s."""
 
 MAX_WAIT_OBJECTIVES = 2.0
-"""How long a call waits for an engine, in objectives: its answer is late by then, and
-callers leave a silent stream after some seconds."""
+"""How long a call waits for an engine, as a multiple of the route's latency objective.
+Its response is late by then, and callers close a silent stream after some seconds."""
 
 POLL_INTERVAL_S = 0.1
-"""Pause between looks for an engine, where nothing changes."""
+"""Longest pause between attempts at placement."""
 
 LOAD_REQUEST_RETRY_S = 0.25
-"""Pause after which an owner is asked again for an adapter that is not coming."""
+"""Pause after which an owner is asked again to load an adapter."""
 
 LOAD_STALE_AFTER_S = 0.02
-"""Age of what is known of an engine's load in a large pool past which its owner is
-asked before a call goes there. What relays tell is up to half a second old, and all
-daemons are told the same: they sent their calls to the same few engines."""
+"""Age of an engine's load, in a large pool, past which its owner is asked before a call
+is sent there. Relayed loads are up to half a second old and the same at all daemons,
+which would all send their calls to the same few engines."""
 
-ANSWER_S = 0.03
-"""How long a call waits in all to hear of the load of the engines it may go to. An
-owner answers in 3 ms; one that is gone or frozen must not keep calls from its engine.
-"""
+LOAD_ANSWER_TIMEOUT_S = 0.03
+"""How long a call waits in all for the loads of its engines. An owner answers in 3 ms,
+and one that is gone or frozen must not keep calls from its engine."""
 
-NO_ENDPOINT_AFTER_S = 0.6
-"""When to come back where a service has no endpoint: one restarts in some seconds."""
+NO_ENDPOINT_RETRY_AFTER_S = 0.6
+"""Retry-After where a service has no endpoint: one restarts in some seconds."""
 
-GONE_AFTER_S = 0.6
-"""When to come back with a stream whose version has no endpoint: a crashed one restarts
-in some seconds, and an entry that lapsed is back in two."""
+VERSION_GONE_RETRY_AFTER_S = 0.6
+"""Retry-After of a stream whose software version has no endpoint: a crashed one
+restarts in some seconds, and an expired entry is renewed within two."""
 
-CLOSED_AFTER_S = (0.0, 1.0)
-"""Added to the time after which an endpoint takes calls again: callers who all came
-then would find it taken by the first."""
+PAUSE_JITTER_S = (0.0, 1.0)
+"""Range of the random delay added to an endpoint's pause, so that callers don't all
+return at once."""
 
-PLAIN_PATIENCE = 0.5
-"""How long a call waits for a plain endpoint that asks for a pause, in objectives: its
-answer can then still come in time."""
+MAX_PLAIN_WAIT_OBJECTIVES = 0.5
+"""How long a call waits for a paused plain endpoint, as a multiple of the latency
+objective: its response can then still be in time."""
 
 
 class CallPlacer:
-    """Places calls by what is believed of the endpoints.
+    """Chooses endpoints of calls by the known state of the cluster.
 
     Parameters
     ----------
     hub : Hub
-        Beliefs.
+        The daemon's cluster state.
     link : PeerLink
-        To the owners of engines.
+        Connects to the owners of engines.
     """
 
     def __init__(self, hub: Hub, link: PeerLink) -> None:
@@ -89,57 +88,57 @@
         self._records = AdmissionRecords(hub)
 
     async def place(self, call: Call) -> Target | Refusal:
-        """Return where a call goes next, or why it goes nowhere."""
+        """Return the target of a call's next attempt, or a refusal."""
         if self._is_version_gone(call):
-            return Refusal(503, "software_gone", GONE_AFTER_S)
+            return Refusal(503, "software_gone", VERSION_GONE_RETRY_AFTER_S)
         if call.details.model is None:
             return await self._place_plain(call)
-        case = self._case(call)
+        pending = self._make_pending(call)
         placed: Target | Refusal | None = None
         try:
-            placed = await self._place_on_engine(call, call.details.model, case)
+            placed = await self._place_on_engine(call, call.details.model, pending)
         finally:
-            # A caller that disconnects ends this as well, and gives its place up.
+            # A caller that disconnects leaves the queue as well.
             sent = isinstance(placed, Target)
-            self._hub.overload.left(case, anyio.current_time(), sent)
+            self._hub.overload.left(pending, anyio.current_time(), sent)
         return placed
 
     def _is_version_gone(self, call: Call) -> bool:
-        """Return whether no endpoint is left that a begun stream may go on at."""
+        """Return whether a started stream has no endpoint left that may continue it."""
         if call.software is None:
             return False
         fleet, now_s = self._hub.cluster.fleet, anyio.current_time()
         return not any(map(call.may_go_to, fleet.of_service(call.service, now_s)))
 
     async def _place_on_engine(
-        self, call: Call, model: ModelRef, case: PendingRequest
+        self, call: Call, model: ModelRef, pending: PendingRequest
     ) -> Target | Refusal:
         asked_s = float("-inf")
-        known_by_s = anyio.current_time() + ANSWER_S
+        known_by_s = anyio.current_time() + LOAD_ANSWER_TIMEOUT_S
         while True:
             now_s = anyio.current_time()
-            choice = self._choose(call, model, case, now_s)
+            choice = self._choose(call, model, pending, now_s)
             call.last_choice = type(choice).__name__
-            verdict = self._hub.overload.decide(case, choice, now_s)
-            refusal = self._refuse_now(call, case, choice, verdict, now_s)
+            verdict = self._hub.overload.decide(pending, choice, now_s)
+            refusal = self._refuse_now(call, pending, choice, verdict, now_s)
             if refusal is not None:
                 return refusal
             if isinstance(verdict, Wait):
                 await self._hub.engines_changed.wait(
                     max(0.001, verdict.until_s - now_s)
                 )
-                known_by_s = anyio.current_time() + ANSWER_S
+                known_by_s = anyio.current_time() + LOAD_ANSWER_TIMEOUT_S
                 continue
             assert isinstance(verdict, Admit)
             choice, call.overdue_rank = verdict.choice, verdict.rank
             if isinstance(choice, SendTo):
-                if now_s < known_by_s and self._is_unknown(choice.endpoint, now_s):
+                if now_s < known_by_s and self._is_load_stale(choice.endpoint, now_s):
                     await self._link.request_load(choice.endpoint)
                     await self._hub.engines_changed.wait(known_by_s - now_s)
                     continue
                 if choice.copy_to is not None:
-                    await self._want(call, choice.copy_to)
-                self._records.sent(call, case, now_s)
+                    await self._request_load(call, choice.copy_to)
+                self._records.record_sent(call, pending, now_s)
                 return Target(choice.endpoint, choice.version)
             call.accepted = not isinstance(choice, NoEngine)
             pause_s = POLL_INTERVAL_S
@@ -147,12 +146,12 @@
                 pause_s = choice.ready_s - now_s
             elif isinstance(choice, LoadOn) and now_s - asked_s > LOAD_REQUEST_RETRY_S:
                 asked_s = now_s
-                await self._want(call, choice.endpoint)
-            if verdict.rank is None and now_s > self._patient_s(call):
+                await self._request_load(call, choice.endpoint)
+            if verdict.rank is None and now_s > self._wait_deadline_s(call):
                 return Refusal(503, "no_place", BUSY_AFTER_S)
             await self._hub.engines_changed.wait(max(0.001, pause_s))
 
-    def _case(self, call: Call) -> PendingRequest:
+    def _make_pending(self, call: Call) -> PendingRequest:
         return PendingRequest(
             id(call),
             call.route,
@@ -169,27 +168,31 @@
     def _refuse_now(
         self,
         call: Call,
-        case: PendingRequest,
+        pending: PendingRequest,
         choice: Choice,
         verdict: Verdict,
         now_s: float,
     ) -> Refusal | None:
-        """Refuse a call that is known not to be served while it would wait."""
-        self._records.judged(call, case, verdict, now_s)
+        """Refuse a call that would not be served by waiting."""
+        self._records.record_verdict(call, pending, verdict, now_s)
         if isinstance(verdict, Reject):
             if isinstance(choice, TooLate):
-                patience_s = self._hub.overload.patience_s(case, call.accepted, now_s)
+                patience_s = self._hub.overload.patience_s(
+                    pending, call.accepted, now_s
+                )
                 late_share = self._admission.late_share
-                self._records.too_late(call, choice, patience_s, late_share, now_s)
+                self._records.record_too_late(
+                    call, choice, patience_s, late_share, now_s
+                )
             return Refusal(503, verdict.reason, verdict.retry_after_s)
         if isinstance(choice, NoEngine):
-            return self._closed_beyond(call, self._patient_s(call), now_s)
+            return self._refuse_paused(call, self._wait_deadline_s(call), now_s)
         return None
 
-    def _closed_beyond(
+    def _refuse_paused(
         self, call: Call, until_s: float, now_s: float
     ) -> Refusal | None:
-        """Refuse a call whose endpoints all ask for a pause that lasts too long."""
+        """Refuse a call whose endpoints are all paused until after its wait ends."""
         reopens_at_s = self._hub.cluster.fleet.reopens_at_s(call.service, now_s)
         if reopens_at_s is None or reopens_at_s <= until_s:
             return None
@@ -199,17 +202,17 @@
             service=call.service,
             opens_in_s=round(reopens_at_s - now_s, 3),
         )
-        after_s = reopens_at_s - now_s + random.uniform(*CLOSED_AFTER_S)
-        return Refusal(503, "closed", after_s)
+        retry_after_s = reopens_at_s - now_s + random.uniform(*PAUSE_JITTER_S)
+        return Refusal(503, "closed", retry_after_s)
 
-    def _is_unknown(self, engine: Endpoint, now_s: float) -> bool:
-        """Tell whether this daemon hears too little of an engine to send there."""
+    def _is_load_stale(self, engine: Endpoint, now_s: float) -> bool:
+        """Return whether an engine's load is too old to send a call there."""
         if self._hub.cluster.is_small_pool:
             return False
         return engine.owner != "" and now_s - engine.heard_s > LOAD_STALE_AFTER_S
 
     @staticmethod
-    def _patient_s(call: Call) -> float:
+    def _wait_deadline_s(call: Call) -> float:
         """Return until when a call waits for an engine, on the daemon's clock."""
         if call.progress.begun:
             return call.deadline_s - 0.05
@@ -217,34 +220,34 @@
         return min(call.request.received_s + wait_s, call.deadline_s - 0.05)
 
     def _choose(
-        self, call: Call, model: ModelRef, case: PendingRequest, now_s: float
+        self, call: Call, model: ModelRef, pending: PendingRequest, now_s: float
     ) -> Choice:
         cluster, policy = self._hub.cluster, self._hub.overload
-        ask = PlacementRequest(
+        request = PlacementRequest(
             model,
-            self._versions_now(model),
+            self._servable_versions(model),
             self._hub.identity.data_centre,
             frozenset(call.progress.runs | call.refused),
             call.details.prompt_tokens,
-            policy.patience_s(case, call.accepted, now_s),
+            policy.patience_s(pending, call.accepted, now_s),
         )
-        able = filter(call.may_go_to, cluster.fleet.reachable(call.service, now_s))
-        engines = exclude_limited(list(able), model)
+        usable = filter(call.may_go_to, cluster.fleet.reachable(call.service, now_s))
+        engines = exclude_limited(list(usable), model)
         cluster.fleet.estimate_load(
             engines, self._hub.daemons, cluster.is_small_pool, now_s
         )
-        engines = policy.eligible_engines(case, engines, now_s)
+        engines = policy.eligible_engines(pending, engines, now_s)
         objective_s = 0.0 if call.has_begun else call.route.objective_s
-        is_new = not call.placed and not policy.is_overdue(case, now_s)
+        is_new = not call.placed and not policy.is_overdue(pending, now_s)
         call.placed = True
-        return self._admission.choose(ask, engines, objective_s, is_new, now_s)
+        return self._admission.choose(request, engines, objective_s, is_new, now_s)
 
-    def _versions_now(self, model: ModelRef) -> ServableVersions | None:
+    def _servable_versions(self, model: ModelRef) -> ServableVersions | None:
         if not model.adapter:
             return None
         return self._hub.cluster.servable_versions(model, self._hub.steady_s())
 
-    async def _want(self, call: Call, endpoint: Endpoint) -> None:
+    async def _request_load(self, call: Call, endpoint: Endpoint) -> None:
         model = call.details.model
         assert model is not None
         version = self._hub.cluster.newest_version(model) or 0
@@ -264,7 +267,7 @@
             await self._link.send(endpoint.owner, wanted)
 
     async def _place_plain(self, call: Call) -> Target | Refusal:
-        wait_s = PLAIN_PATIENCE * call.route.objective_s
+        wait_s = MAX_PLAIN_WAIT_OBJECTIVES * call.route.objective_s
         until_s = min(call.request.received_s + wait_s, call.deadline_s)
         while True:
             now_s = anyio.current_time()
@@ -273,21 +276,21 @@
                 return Target(endpoint, None)
             reopens_at_s = self._hub.cluster.fleet.reopens_at_s(call.service, now_s)
             if reopens_at_s is None:
-                return Refusal(503, "no_endpoint", NO_ENDPOINT_AFTER_S)
-            refusal = self._closed_beyond(call, until_s, now_s)
+                return Refusal(503, "no_endpoint", NO_ENDPOINT_RETRY_AFTER_S)
+            refusal = self._refuse_paused(call, until_s, now_s)
             if refusal is not None:
                 return refusal
             await self._hub.engines_changed.wait(reopens_at_s - now_s)
 
     async def _choose_plain(self, call: Call, now_s: float) -> Endpoint | None:
-        ask = PlainAsk(
+        request = PlainAsk(
             self._hub.identity.data_centre,
             frozenset(call.progress.runs | call.refused),
             call.route.objective_s,
         )
         fleet = self._hub.cluster.fleet
-        # One that is backed off from is better than none.
-        able = fleet.reachable(call.service, now_s)
-        able = able or fleet.open_endpoints(call.service, now_s)
-        able = list(filter(call.may_go_to, able))
-        return await self._link.plain.choose(ask, able, call.details.call_id)
+        # An endpoint that failed of late is better than none.
+        usable = fleet.reachable(call.service, now_s)
+        usable = usable or fleet.open_endpoints(call.service, now_s)
+        usable = list(filter(call.may_go_to, usable))
+        return await self._link.plain.choose(request, usable, call.details.call_id)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/refusal_records.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/refusal_records.py
@@ -1,4 +1,4 @@
-"""Records in the store which calls are refused, as they crash endpoints."""
+"""Records in the store which calls are refused because they crash endpoints."""
 
 import anyio
 
@@ -9,96 +9,96 @@
 from knapweedbridge_daemon.serving.own_records import pack_refused
 from knapweedbridge_daemon.store import Transaction
 
-LOOK_S = 1.0
-"""Longest pause between looks for what is not recorded."""
+POLL_INTERVAL_S = 1.0
+"""Longest pause between checks for refusals that are not recorded."""
 
-STEP_S = 0.3
-"""How long each keeper waits for the one before it to write: a write takes some
+WRITE_DELAY_S = 0.3
+"""How long each publisher waits for the one before it to write: a write takes some
 milliseconds, and reaches all hosts within a few tenths of a second."""
 
-LOOK_AGAIN_S = 0.1
-"""Shortest pause between looks: in a storm of losses something changes all the time."""
+MIN_POLL_INTERVAL_S = 0.1
+"""Shortest pause between checks: during many losses something changes all the time."""
 
-SHORTEST_LEASE_S, LONGEST_LEASE_S = 1.0, 600.0
-"""Bounds of the store's leases; what is refused for longer is recorded again."""
+MIN_LEASE_S, MAX_LEASE_S = 1.0, 600.0
+"""Bounds of the store's leases; longer refusals are recorded again."""
 
 
 class RefusalRecords:
-    """Has the store hold what is refused, for hosts that did not hear the others.
+    """Keeps the refusals in the store, for hosts that missed the notifications.
 
     Parameters
     ----------
     hub : Hub
-        The ledger of crashes, and the store.
+        The daemon's ledger of crashes, and the store.
     cleared_calls : set of str
-        Calls whose records are to be removed.
+        Fingerprints of calls whose records are to be removed.
     """
 
-    __slots__ = ("_hub", "_missing_since_s", "_not_refused")
+    __slots__ = ("_hub", "_missing_since_s", "_cleared_calls")
 
     def __init__(self, hub: Hub, cleared_calls: set[str]) -> None:
         self._hub = hub
-        self._not_refused = cleared_calls
+        self._cleared_calls = cleared_calls
         self._missing_since_s: dict[str, float] = {}
 
     async def run(self) -> None:
-        """Write what is missing until cancelled."""
+        """Write missing records and remove obsolete ones until cancelled."""
         while True:
             await self._hub.losses_changed.wait(self._pause_s())
             if self._hub.synced:
-                await self._look()
-                await anyio.sleep(LOOK_AGAIN_S)
+                await self._update()
+                await anyio.sleep(MIN_POLL_INTERVAL_S)
 
     def _pause_s(self) -> float:
-        return STEP_S if self._missing_since_s else LOOK_S
+        return WRITE_DELAY_S if self._missing_since_s else POLL_INTERVAL_S
 
-    async def _look(self) -> None:
+    async def _update(self) -> None:
         now_s = anyio.current_time()
         missing = self._hub.crashes.to_publish(now_s)
         since_s = self._missing_since_s
         self._missing_since_s = {mark: since_s.get(mark, now_s) for mark in missing}
         for mark, for_s in missing.items():
-            turn_s = self._turn_s(mark)
+            delay_s = self._write_delay_s(mark)
             waited_s = now_s - self._missing_since_s[mark]
-            if turn_s is not None and waited_s >= turn_s:
+            if delay_s is not None and waited_s >= delay_s:
                 await self._write(mark, for_s)
         withdrawn = self._hub.crashes.parts.withdrawn
-        self._not_refused.update(withdrawn)
+        self._cleared_calls.update(withdrawn)
         withdrawn.clear()
-        while self._not_refused:
-            mark = self._not_refused.pop()
-            if self._turn_s(mark) is not None:
+        while self._cleared_calls:
+            mark = self._cleared_calls.pop()
+            if self._write_delay_s(mark) is not None:
                 await self._remove(mark)
 
-    def _turn_s(self, mark: str) -> float | None:
-        """Return how long this host leaves a write to others; None: it writes none."""
+    def _write_delay_s(self, mark: str) -> float | None:
+        """Return how long this host waits for others to write; None: it does not."""
         coordinators = refusal_publishers(mark, self._hub.cluster.coordinators)
         own = self._hub.identity.name
-        return STEP_S * coordinators.index(own) if own in coordinators else None
+        return WRITE_DELAY_S * coordinators.index(own) if own in coordinators else None
 
     async def _write(self, mark: str, for_s: float) -> None:
         store, key = self._hub.dialects.store, self._key(mark)
         try:
-            lease_s = min(max(SHORTEST_LEASE_S, for_s), LONGEST_LEASE_S)
+            lease_s = min(max(MIN_LEASE_S, for_s), MAX_LEASE_S)
             lease = await store.grant_lease(lease_s)
             write = Transaction({key: 0}, {key: pack_refused(for_s)}, lease=lease)
             done = await store.commit(write)
         except StoreError as error:
-            self._note("refusal.not_recorded", mark, error=str(error))
+            self._log("refusal.not_recorded", mark, error=str(error))
             return
         if done.applied:
             self._hub.crashes.record_published(mark, for_s, anyio.current_time())
-            self._note("refusal.recorded", mark, for_s=round(for_s, 1))
+            self._log("refusal.recorded", mark, for_s=round(for_s, 1))
 
     async def _remove(self, mark: str) -> None:
         try:
             keys = tuple({self._key(mark), self._key(request_digest(mark))})
             await self._hub.dialects.store.commit(Transaction(deletes=keys))
         except StoreError as error:
-            self._note("refusal.not_removed", mark, error=str(error))
+            self._log("refusal.not_removed", mark, error=str(error))
 
     def _key(self, mark: str) -> str:
         return self._hub.dialects.daemon_keys.refused_call(mark)
 
-    def _note(self, kind: str, mark: str, **fields: object) -> None:
+    def _log(self, kind: str, mark: str, **fields: object) -> None:
         self._hub.log.info(kind, mark=mark[:MARK_DIGITS], **fields)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/stream_resumer.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/stream_resumer.py
@@ -1,4 +1,4 @@
-"""Keeps the software versions that began streams, and finds that of a resumed one."""
+"""Records which software versions started streams, to resume them there."""
 
 import itertools
 from collections import defaultdict
@@ -26,58 +26,63 @@
 from knapweedbridge_daemon.serving.hub import Hub, Send
 
 ANSWER_S = 0.4
-"""How long the keepers of a stream are waited for while several versions serve. Callers
-leave a stream after a gap of two seconds."""
+"""Timeout of the coordinators of a stream while several versions serve. Callers close a
+stream after a gap of two seconds."""
 
-ANSWER_OF_ONE_S = 0.15
-"""How long they are waited for while this host knows one version only: an answer takes
-milliseconds, and most likely confirms it."""
+SINGLE_VERSION_ANSWER_S = 0.15
+"""Timeout of the coordinators while this host knows one version only: a response takes
+milliseconds, and most likely confirms that version."""
 
 ASK_AGAIN_S = 0.1
-"""Pause between questions to a keeper that has not answered."""
+"""Pause between requests to a coordinator that has not answered."""
 
 STARTING_S = 5.0
-"""How long after its start a host may not know all others yet."""
+"""How long after its start a host may not know all others."""
 
 CURRENT_S = 1.9
-"""Age of what is known of the store up to which this host's view is current."""
+"""Age of the cluster state up to which this host's view counts as current."""
 
-UNKNOWN_AFTER_S = 0.3
-"""When to come back with a stream whose origin is not known: others may know it."""
+UNKNOWN_RETRY_AFTER_S = 0.3
+"""Retry-After of a stream whose origin is not known: other hosts may know it."""
 
-MOST_ROWS = 200
+MAX_ROWS = 200
 """Origins in one message."""
 
 PROBE = OriginRequest("", "", 0.0, 0)
-"""Shows whether a daemon takes part."""
+"""Message by which a daemon's protocol version is checked for support of origins."""
 
 OriginMessage = OriginsRecorded | OriginRequest | OriginResponse
 
 
 @dataclass(slots=True, eq=False)
-class Inquiry:
-    """A question that waits for answers.
+class PendingQuery:
+    """A query for a stream's origin that waits for responses.
 
     Parameters
     ----------
-    question : OriginQuery
-        What has been answered.
+    query : OriginQuery
+        The responses so far.
     origin : StreamOrigin or None
-        The origin as a keeper recorded it.
+        The origin as a coordinator recorded it.
+    decided : anyio.Event
+        Set when the responses suffice.
     """
 
-    question: OriginQuery
+    query: OriginQuery
     origin: StreamOrigin | None = None
     decided: anyio.Event = field(default_factory=anyio.Event)
 
 
 class StreamResumer:
-    """The origins of streams, as far as this daemon has to do with them.
+    """Records and finds the origins of streams.
+
+    An origin is the service and the software version that started a stream. It is held
+    by the host that serves the stream and by the stream's coordinators.
 
     Parameters
     ----------
     hub : Hub
-        Beliefs, which say who keeps origins.
+        The daemon's cluster state, log and metrics.
     send : callable
         Sends a message to a daemon, this one too.
     """
@@ -87,13 +92,13 @@
         self._send = send
         self._began_s: float | None = None
         self._tickets = itertools.count(1)
-        self._inquiries: dict[int, Inquiry] = {}
+        self._pending: dict[int, PendingQuery] = {}
         self._own = OriginTable()
         self._kept = OriginTable()
         self._published: tuple[frozenset[str], tuple[str, ...]] = (frozenset(), ())
 
     async def record_start(self, call: Call, endpoint: Endpoint) -> None:
-        """Record which version began a stream, before its first event is passed on."""
+        """Record which version starts a stream, before its first event is forwarded."""
         call.software = endpoint.record.software
         stream = call.details.stream_id
         if not (call.route.resumable and stream):
@@ -105,17 +110,17 @@
             await self._publish([(stream, origin)])
 
     def record_end(self, call: Call) -> None:
-        """Record that a stream came to its end."""
+        """Record that a stream is complete."""
         self._own.forget(call.details.stream_id)
 
     async def refresh(self) -> None:
-        """Record all streams under way at their keepers, as versions or hosts change.
+        """Publish the origins of all open streams when versions or hosts change.
 
-        Streams that began while one version served are not recorded until another one
-        appears, and keepers that are replaced have lost what they kept.
+        Streams that started while one version served are not published until another
+        one appears, and coordinators that were replaced have lost their records.
         """
         now_s = loop_time_s()
-        self._runs_for_s()
+        self._uptime_s()
         cluster = self._hub.cluster
         software = cluster.fleet.software
         services = {
@@ -123,14 +128,14 @@
             for each in (cluster.deployment.services if cluster.deployment else ())
             if software.has_several(each, now_s)
         }
-        state = frozenset(services), self._starts()
+        state = frozenset(services), self._candidate_incarnations()
         if state == self._published:
             return
         self._published = state
         await self._publish(self._own.of_services(services, now_s))
 
-    def _starts(self) -> tuple[str, ...]:
-        """Return which starts of which hosts may keep origins."""
+    def _candidate_incarnations(self) -> tuple[str, ...]:
+        """Return the incarnations of the hosts that may be coordinators."""
         daemons = self._hub.cluster.daemons
         return tuple(
             f"{name} {daemons[name].incarnation}"
@@ -158,30 +163,30 @@
         rows: dict[str, list[list]] = defaultdict(list)
         for stream, origin in streams:
             row = [stream, origin.service, origin.software, origin.until_s - now_s]
-            for keeper in origin_keepers(stream, candidates):
-                rows[keeper].append(row)
+            for coordinator in origin_keepers(stream, candidates):
+                rows[coordinator].append(row)
         self._hub.metrics.count("stream_origins_recorded", value=len(streams))
-        for keeper, of_keeper in rows.items():
-            if keeper == self._hub.identity.name:
+        for coordinator, its_rows in rows.items():
+            if coordinator == self._hub.identity.name:
                 continue
-            for start in range(0, len(of_keeper), MOST_ROWS):
-                part = of_keeper[start : start + MOST_ROWS]
-                await self._send(keeper, OriginsRecorded(part))
+            for start in range(0, len(its_rows), MAX_ROWS):
+                part = its_rows[start : start + MAX_ROWS]
+                await self._send(coordinator, OriginsRecorded(part))
 
     async def resume(self, call: Call) -> Refusal | None:
-        """Find the version that a resumed stream must go on at; refuse one without.
+        """Find the version that must continue a resumed stream.
 
         Returns
         -------
         Refusal or None
-            Why the stream cannot go on; None where it may.
+            Why the stream cannot be continued; None where it can.
         """
         began_s = loop_time_s()
         software, source, answered = await self._find(call)
         call.software = software
         refusal: Refusal | None = None
         if software is None:
-            refusal = Refusal(503, "origin_unknown", UNKNOWN_AFTER_S)
+            refusal = Refusal(503, "origin_unknown", UNKNOWN_RETRY_AFTER_S)
         self._hub.metrics.count("streams_resumed", source)
         self._hub.log.info(
             "stream.resumed",
@@ -199,48 +204,48 @@
         return refusal
 
     async def _find(self, call: Call) -> tuple[str | None, str, int]:
-        """Return the version that began a stream, how it was found, and the answers."""
-        known = self._known(call.details.resumes)
-        if known is not None:
-            self._adopt(call, known)
-            return known.software, "here", 0
-        inquiry = await self._inquire(call)
-        question = inquiry.question
-        if inquiry.origin is not None:
-            self._adopt(call, inquiry.origin)
-            return inquiry.origin.software, "keeper", question.answered
-        software = question.software()
+        """Return the version that started a stream, its source, and the responses."""
+        local = self._find_local(call.details.resumes)
+        if local is not None:
+            self._set_origin(call, local)
+            return local.software, "here", 0
+        pending = await self._query(call)
+        query = pending.query
+        if pending.origin is not None:
+            self._set_origin(call, pending.origin)
+            return pending.origin.software, "keeper", query.answered
+        software = query.software()
         source = "unknown" if software is None else "only_version"
-        return software, source, question.answered
+        return software, source, query.answered
 
-    def _adopt(self, call: Call, origin: StreamOrigin) -> None:
-        """Have a call go on at its stream's own service, if its route leads there."""
+    def _set_origin(self, call: Call, origin: StreamOrigin) -> None:
+        """Set a call's service to that of its stream, if its route leads there."""
         if any(each.service == origin.service for each in call.route.services):
             call.service = origin.service
         self._own.record(call.details.resumes, origin, loop_time_s())
 
-    def _known(self, stream: str) -> StreamOrigin | None:
+    def _find_local(self, stream: str) -> StreamOrigin | None:
         return (self._own.find(stream) or self._kept.find(stream)) if stream else None
 
     def _versions(self, service: str) -> set[str]:
         return self._hub.cluster.fleet.software.of(service, loop_time_s())
 
     def _view(self, service: str, age_s: float) -> VersionView:
-        """Return what this host knows of the versions of a service.
+        """Return this host's view of the versions of a service.
 
         Parameters
         ----------
         age_s : float
-            The most time that can have passed since the stream in question began.
+            The most time that can have passed since the stream started.
         """
         versions = self._versions(service)
-        # Earlier daemons record no versions, so that a host which has just started
-        # among them cannot know which are gone.
-        has_all = self._is_uniform() or self._runs_for_s() >= age_s
+        # Daemons of earlier protocols record no versions, so that a host which has just
+        # started among them cannot know which are gone.
+        has_all = self._is_uniform() or self._uptime_s() >= age_s
         is_current = has_all and self._hub.news_age_s < CURRENT_S
         return VersionView(frozenset(versions), is_current)
 
-    def _runs_for_s(self) -> float:
+    def _uptime_s(self) -> float:
         """Return how long ago this daemon began to follow the store, in seconds."""
         now_s = loop_time_s()
         if self._began_s is None:
@@ -258,66 +263,69 @@
         )
 
     @staticmethod
-    def _most_age_s(call: Call) -> float:
-        """Return the most time that can have passed since a call's stream began.
+    def _max_age_s(call: Call) -> float:
+        """Return the most time that can have passed since a call's stream started.
 
         All attempts of a caller end by the deadline of the first.
         """
         left_s = call.caller_deadline_s - loop_time_s()
         return max(0.0, call.route.timeout_s - left_s)
 
-    async def _inquire(self, call: Call) -> Inquiry:
-        """Ask the keepers of a stream; one without a name for versions alone."""
-        age_s = self._most_age_s(call)
+    async def _query(self, call: Call) -> PendingQuery:
+        """Query the coordinators of a stream.
+
+        Without the name of a stream their views of the versions are all that is asked.
+        """
+        age_s = self._max_age_s(call)
         view = self._view(call.service, age_s)
-        inquiry = Inquiry(OriginQuery([], view))
+        pending = PendingQuery(OriginQuery([], view))
         ticket = next(self._tickets)
-        asked = OriginRequest(call.details.resumes, call.service, age_s, ticket)
-        self._inquiries[ticket] = inquiry
-        answer_s = ANSWER_S if len(view.versions) > 1 else ANSWER_OF_ONE_S
+        request = OriginRequest(call.details.resumes, call.service, age_s, ticket)
+        self._pending[ticket] = pending
+        timeout_s = ANSWER_S if len(view.versions) > 1 else SINGLE_VERSION_ANSWER_S
         try:
-            with anyio.move_on_after(answer_s):
-                await self._ask_until_decided(call, inquiry, asked)
+            with anyio.move_on_after(timeout_s):
+                await self._ask_until_decided(call, pending, request)
         finally:
-            del self._inquiries[ticket]
-        return inquiry
+            del self._pending[ticket]
+        return pending
 
     async def _ask_until_decided(
-        self, call: Call, inquiry: Inquiry, asked: OriginRequest
+        self, call: Call, pending: PendingQuery, request: OriginRequest
     ) -> None:
-        question = inquiry.question
-        await self._ask(call, question, asked)
-        if self._runs_for_s() >= STARTING_S:
-            if not question.is_decided:
-                await inquiry.decided.wait()
+        query = pending.query
+        await self._ask(call, query, request)
+        if self._uptime_s() >= STARTING_S:
+            if not query.is_decided:
+                await pending.decided.wait()
             return
         # A host that has just started knows the others, and is known to them, a moment
-        # after it gets calls: until then questions and answers are lost.
-        while not (question.is_decided and question.software()):
+        # after it gets calls: until then requests and responses are lost.
+        while not (query.is_decided and query.software()):
             with anyio.move_on_after(ASK_AGAIN_S):
-                await inquiry.decided.wait()
-            inquiry.decided = anyio.Event()
-            await self._ask(call, question, asked)
+                await pending.decided.wait()
+            pending.decided = anyio.Event()
+            await self._ask(call, query, request)
 
     async def _ask(
-        self, call: Call, question: OriginQuery, asked: OriginRequest
+        self, call: Call, query: OriginQuery, request: OriginRequest
     ) -> None:
-        """Ask the keepers of a call's stream that have not answered yet."""
+        """Ask the coordinators of a call's stream that have not answered yet."""
         coordinators = origin_keepers(call.details.stream_id, self._candidates())
         others = [name for name in coordinators if name != self._hub.identity.name]
-        for name in question.ask(others):
-            await self._send(name, asked)
+        for name in query.ask(others):
+            await self._send(name, request)
 
     async def handle(self, daemon: str, message: OriginMessage) -> None:
-        """Receive a record, a question or an answer."""
+        """Handle a record, a request or a response."""
         if isinstance(message, OriginsRecorded):
-            self._keep(message)
+            self._record_origins(message)
         elif isinstance(message, OriginRequest):
             await self._send(daemon, self._answer(message))
         else:
-            self._note_answer(daemon, message)
+            self._record_response(daemon, message)
 
-    def _keep(self, message: OriginsRecorded) -> None:
+    def _record_origins(self, message: OriginsRecorded) -> None:
         now_s = loop_time_s()
         for stream, service, software, left_s in message.rows:
             self._kept.record(
@@ -325,7 +333,7 @@
             )
 
     def _answer(self, message: OriginRequest) -> OriginResponse:
-        origin = self._known(message.stream)
+        origin = self._find_local(message.stream)
         view = self._view(message.service, message.age_s)
         return OriginResponse(
             message.ticket,
@@ -336,15 +344,15 @@
             view.is_current,
         )
 
-    def _note_answer(self, daemon: str, message: OriginResponse) -> None:
+    def _record_response(self, daemon: str, message: OriginResponse) -> None:
         view = VersionView(frozenset(message.versions), message.is_current)
-        inquiry = self._inquiries.get(message.ticket)
-        if inquiry is None:
+        pending = self._pending.get(message.ticket)
+        if pending is None:
             return
-        inquiry.question.answer(daemon, message.software, view)
-        if message.software is not None and inquiry.origin is None:
-            inquiry.origin = StreamOrigin(
+        pending.query.answer(daemon, message.software, view)
+        if message.software is not None and pending.origin is None:
+            pending.origin = StreamOrigin(
                 message.service, message.software, loop_time_s() + message.left_s
             )
-        if inquiry.question.is_decided:
-            inquiry.decided.set()
+        if pending.query.is_decided:
+            pending.decided.set()
