--- a/bench/mutants.py
+++ b/bench/mutants.py
@@ -116,7 +116,7 @@
     "late grant used": [(RequestSide, "_is_usable", lambda self, live, message: True)],
     "eviction without a witness": [
         (order_side.OrderSide, "_witnesses", lambda self, endpoint: []),
-        (Takeover, "condemn", lambda self, models, now_s: None),
+        (Takeover, "quarantine", lambda self, models, now_s: None),
     ],
 }
 
--- a/packages/core/src/knapweedbridge_core/order_side.py
+++ b/packages/core/src/knapweedbridge_core/order_side.py
@@ -169,7 +169,7 @@
         now_s = self._context.now_s
         tenure.ledger.doubt(event.model, event.kind, now_s)
         if event.kind == "evict":
-            tenure.takeover.condemn([event.model], now_s)
+            tenure.takeover.quarantine([event.model], now_s)
             for placed in self._placed_for(event.endpoint, event.model):
                 self._load_over(event.endpoint, placed.model, False)
         else:
--- a/packages/core/src/knapweedbridge_core/takeover.py
+++ b/packages/core/src/knapweedbridge_core/takeover.py
@@ -59,7 +59,7 @@
         """Tell whether all holders told what they hold, or are dead."""
         return not self.unheard
 
-    def condemn(self, models: list[AdapterVersion], now_s: float) -> None:
+    def quarantine(self, models: list[AdapterVersion], now_s: float) -> None:
         """Keep names away that an earlier owner may have ordered to evict."""
         for model in models:
             self.condemned[model] = max(now_s, self.settled_s) + QUARANTINE_S
