--- a/features/accounts/bound.feature
+++ b/features/accounts/bound.feature
@@ -1,12 +1,12 @@
 Feature: An account's use of a large pool stays within what the operators accept
-  Modelled in virtual time: an account on 64 daemons, with calls of up to 5,000 tokens.
+  Simulated in virtual time: an account on 64 daemons, with calls of up to 5,000 tokens.
 
-  Scenario Outline: No window holds more than is accepted: <story>
-    An account sent many times its limit, on more daemons than hear each other, and used
-    far more than it had bought; or all daemons were killed at once, and each began with
-    a full burst.
+  Scenario Outline: No window exceeds the accepted use: <story>
+    Guards against an account that sends many times its limit, through more daemons than
+    exchange messages directly, and uses far more than its quota; and against daemons that
+    are all killed at once and each begin with a full burst.
 
-    When accounts of <tokens> tokens a second play "<story>" with seeds 0 to 3
+    When accounts of <tokens> tokens a second run "<story>" with seeds 0 to 3
     Then no window of 8 s holds more than is accepted
 
     Examples:
@@ -22,8 +22,8 @@
       | a third is cut off while it sends five times   | 77000  |
 
   Scenario Outline: Below its limit an account is not refused: <tokens> tokens a second
-    When accounts of <tokens> tokens a second play "all is well" with seeds 0 to 3
-    Then it gets all that a single counter would let pass
+    When accounts of <tokens> tokens a second run "all is well" with seeds 0 to 3
+    Then it gets all that a single counter would admit
 
     Examples:
       | tokens |
--- a/features/accounts/keys.feature
+++ b/features/accounts/keys.feature
@@ -1,13 +1,13 @@
-Feature: Client accounts on the platform's wire
-  Callers show keys; endpoints learn whose call it is, and never the key.
+Feature: Client accounts in the platform's protocol
+  Callers send API keys; endpoints get the account of a call, and never the key.
 
   Background:
     Given the whole path
     And the accounts "shop" with key "k-shop" and rank 3, and "lab" with key "k-lab"
 
-  Scenario Outline: A call is run for the account whose key it shows: <story>
-    A caller without a key had its drafts written, for nobody's account; or one whose
-    key was written in other letters was turned away.
+  Scenario Outline: A call is run for the account of its key: <story>
+    Guards against calls that run without a key, for no account, and against a scheme in
+    other letter case that is refused.
 
     When a call of <path> comes with <shown>
     Then it ends with <status>, and endpoints ran it for "<account>"
@@ -29,16 +29,16 @@
       | public, unknown key   | /open/1 | "Bearer k-none"                | 200    | nobody  |
 
   Scenario: An endpoint gets the account's name and rank, and no key
-    An endpoint wrote its headers to a log, with callers' keys among them; and a caller
-    named another account than its own.
+    Guards against callers' keys in the logs of endpoints, and against a caller that names
+    another account than its own.
 
     When a call comes with the key "k-shop" that names the account "lab" itself
     Then the endpoint got the account "shop" alone, rank 3 and no key
     And no log line holds "k-shop"
 
-  Scenario Outline: Changed keys are in force <where>
-    A key was taken away as it had leaked. Whoever held it went on, as his connection
-    was open since before.
+  Scenario Outline: Changed keys take effect <where>
+    Guards against a revoked key that is still accepted on a connection opened before the
+    change.
 
     When the key "k-shop" is replaced by "k-new", <where>
     Then within 2 s "k-shop" gets 401 and "k-new" 200
@@ -48,23 +48,23 @@
       | on new connections     |
       | on an open connection  |
 
-  Scenario: A key that may be new is not refused while the store is away
-    A caller got a new key, and its first call the answer 401, which no client sends
-    again: the daemon had not heard from the store since before the key was named.
+  Scenario: A key that may be new is not refused while the store is unreachable
+    Guards against a 401, which clients do not retry, for a new key that the daemon does
+    not know because it has had no response of the store since the key was added.
 
-    When the store has been away for 2.5 s
+    When the store has been unreachable for 2.5 s
     Then a call with the key "k-shop" ends with 200
-    And a call with the key "k-none" ends with 503 and says when to come back
+    And a call with the key "k-none" ends with 503 and has a Retry-After
 
-  Scenario Outline: The last good accounts stay in force: <fault>
+  Scenario Outline: The last valid accounts stay in force: <fault>
     When the operator writes accounts with <fault>
     Then the fault is logged
     And a call with the key "k-shop" ends with 200
 
     Examples:
       | fault                    |
-      | a key that two hold      |
-      | one name twice           |
+      | a key of two accounts    |
+      | a duplicate name         |
       | an unknown unit          |
-      | a rate below zero        |
+      | a negative rate          |
       | no name                  |
--- a/features/accounts/quotas.feature
+++ b/features/accounts/quotas.feature
@@ -1,13 +1,13 @@
-Feature: Client accounts' quotas on the platform's wire
-  Daemons share an account's quota in tokens; each asks a keeper of a part of it.
+Feature: Client accounts' quotas in the platform's protocol
+  An account's quota is split into parts; daemons request tokens from their coordinators.
 
-  Scenario: An account that asks too much is told when to come back, others are not
-    One account sent five times its usual: its drafts took all engines up, while the
-    callers of the others were late.
+  Scenario: An account above its quota gets 429 with a Retry-After, others do not
+    Guards against an account that sends five times its usual rate and fills all engines, so
+    that the calls of other accounts are late.
 
     Given the whole path with 3 daemons
     When "shop" with 1000 tokens a second asks 6000 for 3 s, and "lab" a call at times
-    Then "shop" got 2000 to 5000 tokens run, and 429 with when to come back
+    Then "shop" got 2000 to 5000 tokens run, and 429 with a Retry-After
     And "lab" was never refused
 
   Scenario: An account below its quota is not refused, whichever daemon it calls
@@ -15,19 +15,19 @@
     When "shop" with 4000 tokens a second asks 1500 for 3 s
     Then no call was refused
 
-  Scenario: What is not run costs an account nothing
-    An account's calls were refused as its service had no endpoint, and then, with the
-    endpoints back, as its quota was used up by calls that nobody had run.
+  Scenario: Calls that are not run use no quota
+    Guards against a quota that is used up by calls refused for lack of an endpoint, so
+    that calls are refused again when the endpoints are back.
 
     Given the whole path
     When 40 calls of "shop" with 1000 tokens a second find no endpoint, and then 4 find one
     Then those 4 are answered
 
-  Scenario Outline: A keeper that cannot tell what is left refuses nobody: <story>
-    Guards against 429 for an account below its quota whose keeper lags or lost its lease.
+  Scenario Outline: A coordinator that does not know what is left refuses no call: <story>
+    Guards against 429 below the quota while a coordinator lags or has lost its lease.
 
-    Given two daemons and an account with 4000 tokens a second that one of them keeps
-    When a call of 200 tokens comes while the keeper <state>
+    Given two daemons and an account with 4000 tokens a second coordinated by one of them
+    When a call of 200 tokens comes while the coordinator <state>
     Then it is <answer>
 
     Examples:
--- a/features/accounts/steps/account_steps.py
+++ b/features/accounts/steps/account_steps.py
@@ -15,7 +15,7 @@
     return {"name": name, "api_keys": list(keys), **fields}
 
 
-def good_accounts():
+def valid_accounts():
     return [account("shop", "k-shop", priority=3), account("lab", "k-lab")]
 
 
@@ -34,8 +34,8 @@
     )
 
 
-async def put_good_accounts(path):
-    await put_accounts(path, good_accounts(), 2)
+async def put_valid_accounts(path):
+    await put_accounts(path, valid_accounts(), 2)
 
 
 def is_in_force(path):
@@ -51,11 +51,11 @@
     'the accounts "{a}" with key "{ka}" and rank {rank:d}, and "{b}" with key "{kb}"'
 )
 def accounts_named(context, a, ka, rank, b, kb):
-    assert good_accounts() == [account(a, ka, priority=rank), account(b, kb)]
+    assert valid_accounts() == [account(a, ka, priority=rank), account(b, kb)]
 
 
 def shown_headers(shown):
-    """Return the Authorization lines that a row of the table means."""
+    """Return the Authorization lines for a row of the table."""
     if shown == "nothing":
         return []
     if shown == "the keys of both accounts":
@@ -81,7 +81,7 @@
 
 
 @when("a call of {target} comes with {shown}")
-@played(begin=put_good_accounts)
+@played(begin=put_valid_accounts)
 async def call_comes(context, path, target, shown):
     context.response = await call(path, target, shown_headers(shown))
 
@@ -95,7 +95,7 @@
 
 
 @when('a call comes with the key "{key}" that names the account "{other}" itself')
-@played(begin=put_good_accounts)
+@played(begin=put_valid_accounts)
 async def names_another(context, path, key, other):
     context.response = await call(path, "/look/1", [f"Bearer {key}"], Tenant=other)
 
@@ -117,7 +117,7 @@
 
 
 @when('the key "{old}" is replaced by "{new}", {where}')
-@played(begin=put_good_accounts)
+@played(begin=put_valid_accounts)
 async def key_replaced(context, path, old, new, where):
     async with httpx.AsyncClient(timeout=8, verify=NO_TLS) as client:
         kept = client if where == "on an open connection" else None
@@ -139,8 +139,8 @@
     assert context.statuses == {old: refused, new: answered}, context.statuses
 
 
-@when("the store has been away for {seconds:f} s")
-@played(begin=put_good_accounts)
+@when("the store has been unreachable for {seconds:f} s")
+@played(begin=put_valid_accounts)
 async def store_away(context, path, seconds):
     path.store.down = True
     await anyio.sleep(seconds)
@@ -151,13 +151,13 @@
 
 
 @when("the operator writes accounts with {fault}")
-@played(begin=put_good_accounts)
+@played(begin=put_valid_accounts)
 async def faulty_accounts(context, path, fault):
     faulty = {
-        "a key that two hold": [account("shop", "k"), account("lab", "k")],
-        "one name twice": [account("shop", "k1"), account("shop", "k2")],
+        "a key of two accounts": [account("shop", "k"), account("lab", "k")],
+        "a duplicate name": [account("shop", "k1"), account("shop", "k2")],
         "an unknown unit": [account("shop", "k", unit="pages", rate_per_s=1)],
-        "a rate below zero": [account("shop", "k", rate_per_s=-1)],
+        "a negative rate": [account("shop", "k", rate_per_s=-1)],
         "no name": [account("", "k")],
     }[fault]
     path.store.put("op/config", configuration(3, accounts=faulty))
@@ -181,7 +181,7 @@
     assert context.answers[key].status_code == status, context.answers
 
 
-@then('a call with the key "{key}" ends with {status:d} and says when to come back')
+@then('a call with the key "{key}" ends with {status:d} and has a Retry-After')
 def key_comes_back(context, key, status):
     key_ends_with(context, key, status)
     assert float(context.answers[key].headers["Retry-After"]) > 0
--- a/features/accounts/steps/coordinator_steps.py
+++ b/features/accounts/steps/coordinator_steps.py
@@ -20,12 +20,12 @@
 
 RATE = 4000
 LEASE_S = 1000.0
-KEPT_FOR_S = 5.0
+SETTLED_S = 5.0
 RECORDS = [DaemonRecord(name, 1, "a:1", "d0") for name in ("h0", "h1")]
 
 
 class Peer:
-    """One of two daemons, as far as quotas go."""
+    """The quotas of one of two daemons."""
 
     def __init__(self, record, peers, account):
         log = SimpleNamespace(info=lambda kind, **fields: None)
@@ -39,16 +39,16 @@
         self._peers = peers
         self._account = account
         self.quotas = AccountQuotas(self.hub, self._send)
-        self.name_accounts(1, ())
+        self.set_accounts(1, ())
         self.renew()
 
-    def name_accounts(self, version, accounts):
+    def set_accounts(self, version, accounts):
         deployment = Deployment(version, (), {}, accounts=Accounts(accounts))
         self.hub.cluster.take(DeploymentNamed(deployment), 0.0)
         self.quotas.parts.refresh()
 
-    def hear(self, version=2):
-        self.name_accounts(version, (self._account,))
+    def add_account(self, version=2):
+        self.set_accounts(version, (self._account,))
 
     def renew(self):
         self.hub.lease.record_renewal(1e9, LEASE_S)
@@ -59,66 +59,65 @@
 
 
 @given(
-    "two daemons and an account with {rate:d} tokens a second that one of them keeps"
+    "two daemons and an account with {rate:d} tokens a second "
+    "coordinated by one of them"
 )
 def two_daemons(context, rate):
     quota = Quota(QuotaUnit.TOKENS, rate, rate)
     context.account = ClientAccount("shop", ("digest",), quota=quota)
 
 
-async def lag(keeper, state):
-    """Have the keeper be in a state that ends by itself after some time."""
+async def lag(coordinator, state):
+    """Put the coordinator into a state that ends by itself after some time."""
     if state == "hears of the account 0.2 s later":
         await anyio.sleep(0.2)
-        keeper.hear()
+        coordinator.add_account()
     elif state == "hears of the account 5 s later":
         await anyio.sleep(5)
-        keeper.hear()
+        coordinator.add_account()
     elif state == "has no lease for 0.2 s":
-        keeper.hub.lease.record_loss()
+        coordinator.hub.lease.record_loss()
         await anyio.sleep(0.2)
-        keeper.renew()
+        coordinator.renew()
 
 
-def keeper_of(account):
-    """Return the daemon that keeps an account's only part."""
+def coordinator_of(account):
+    """Return the daemon that coordinates an account's only part."""
     one = Peer(RECORDS[0], {}, account)
-    one.hear()
+    one.add_account()
     return one.quotas.parts.coordinators(account.name)[0]
 
 
-async def first_answer(account, state):
+async def take_units(account, state):
     async with anyio.create_task_group() as tasks:
         peers = {}
         for record in RECORDS:
             peers[record.name] = Peer(record, peers, account)
-        keeper = peers[keeper_of(account)]
-        asker = next(each for each in peers.values() if each is not keeper)
-        asker.hear()
+        coordinator = peers[coordinator_of(account)]
+        requester = next(each for each in peers.values() if each is not coordinator)
+        requester.add_account()
         if "hears" not in state and "taken over" not in state:
-            keeper.hear()
-            await anyio.sleep(KEPT_FOR_S)
+            coordinator.add_account()
+            await anyio.sleep(SETTLED_S)
         if "taken over" in state:
-            keeper.hub.cluster.deployment = None
-            keeper.quotas.parts._seen = (None, None)
-            keeper.hear(3)
+            coordinator.hub.cluster.deployment = None
+            coordinator.quotas.parts._seen = (None, None)
+            coordinator.add_account(3)
             await anyio.sleep(0.8)
         if "has given all" in state:
-            while await asker.quotas.take(account, 2000) is None:
+            while await requester.quotas.take(account, 2000) is None:
                 pass
-        tasks.start_soon(lag, keeper, state)
+        tasks.start_soon(lag, coordinator, state)
         await anyio.sleep(0)
         began_s = anyio.current_time()
-        refusal = await asker.quotas.take(account, 200)
+        refusal = await requester.quotas.take(account, 200)
         tasks.cancel_scope.cancel()
     return refusal, anyio.current_time() - began_s
 
 
-@when("a call of 200 tokens comes while the keeper {state}")
+@when("a call of 200 tokens comes while the coordinator {state}")
 def call_comes(context, state):
-    context.refusal, context.took_s = run_virtually(
-        first_answer(context.account, state)
-    )
+    context.refusal, context.took_s = run_virtually(take_units(context.account, state))
 
 
 @then("it is run")
--- a/features/accounts/steps/era_steps.py
+++ b/features/accounts/steps/era_steps.py
@@ -21,7 +21,7 @@
         answers.append((time.monotonic(), answer.status_code))
 
 
-@when("the store comes back from a copy of before its daemons, and drafts go on")
+@when("the store is restored from a copy older than its daemons, and drafts go on")
 @played(lease_ms=3000)
 async def comes_back(context, path):
     copy = path.store.copy()
@@ -44,7 +44,7 @@
     context.listed = [key for key in path.store.items if "/daemons/" in key]
 
 
-@then("drafts were answered through it and after it")
+@then("drafts were answered during and after the restore")
 def answered_through(context):
     during = [s for at_s, s in context.answers if 0 < at_s - context.back_s < 3]
     after = [s for at_s, s in context.answers if at_s - context.back_s >= 3]
@@ -52,7 +52,9 @@
     assert after.count(200) > 0.95 * len(after) > 0, after
 
 
-@then("no engine was ordered by two daemons at a time, nor under a lower number")
+@then(
+    "no engine was ordered by two daemons at a time, nor under a lower fencing number"
+)
 def rising_numbers(context):
     eras = set()
     for engine in context.path.engines:
@@ -72,7 +74,7 @@
     assert len(context.listed) == context.daemons, context.listed
 
 
-@when("a configuration names a new route, and the store comes back from before it")
+@when("a configuration adds a route, and the store is restored from before it")
 @played(lease_ms=3000)
 async def configuration_lost(context, path):
     copy = path.store.copy()
@@ -95,7 +97,7 @@
     ]
 
 
-@then("calls of the new route are answered all along")
+@then("calls of the new route are always answered")
 def all_along(context):
     assert set(context.statuses) == {200}, context.statuses
 
@@ -105,7 +107,7 @@
     assert set(context.dropped) == {404}, context.dropped
 
 
-@when("an endpoint leaves, and the store comes back from before that")
+@when("an endpoint drains, and the store is restored from before that")
 @played(lease_ms=3000)
 async def leaving_lost(context, path):
     copy = path.store.copy()
@@ -126,14 +128,14 @@
     assert other.requests
 
 
-@when("the store comes back, and writes another's record under the revision of ours")
+@when("the store is restored, and writes another's record under the revision of ours")
 @played(lease_ms=3000)
 async def written_again(context, path):
     store = PlatformStore(path.store.address, 1.0)
     copy = path.store.copy()
     ours = await store.commit(Transaction({"mine/x": 0}, {"mine/x": b"ours"}))
     path.store.come_back(copy)
-    # As many changes as before: the revision of ours is another's now.
+    # As many changes as before, so that another's record gets our revision.
     while path.store.revision + 1 < ours.revision & 0xFFFF:
         path.store.put("mine/y", b"between")
     path.store.put("mine/x", b"another's")
@@ -157,6 +159,6 @@
 
 @then("ours is not replaced by a transaction that compares the revision of before")
 def not_replaced(context):
-    # The first call is made before any answer of the new era was heard.
+    # The first call is sent before any response of the new era has arrived.
     assert context.outcomes[1] == "history gone", context.outcomes
     assert context.outcomes[2:] == [False, "history gone"], context.outcomes
--- a/features/accounts/steps/quota_steps.py
+++ b/features/accounts/steps/quota_steps.py
@@ -15,11 +15,11 @@
 
 
 async def send_for(path, name, tokens_per_s, seconds, answers, daemons, seed=1):
-    luck = random.Random(seed)
+    rng = random.Random(seed)
     until_s = time.monotonic() + seconds
     async with anyio.create_task_group() as tasks:
         while time.monotonic() < until_s:
-            daemon = luck.randrange(daemons)
+            daemon = rng.randrange(daemons)
             tasks.start_soon(send_one, path, name, answers, daemon)
             await anyio.sleep(CALL_TOKENS / tokens_per_s)
 
@@ -46,7 +46,7 @@
             tasks.start_soon(send_for, path, name, tokens_per_s, seconds, found, 3)
 
 
-@then('"{name}" got {low:d} to {high:d} tokens run, and 429 with when to come back')
+@then('"{name}" got {low:d} to {high:d} tokens run, and 429 with a Retry-After')
 def got_between(context, name, low, high):
     answers = context.answers[name]
     run = CALL_TOKENS * statuses(answers).count(200)
--- a/features/accounts/stories.py
+++ b/features/accounts/stories.py
@@ -1,4 +1,4 @@
-"""Plays a step's whole story in one event loop, on the whole path."""
+"""Runs a step's whole story in one event loop, on the whole path."""
 
 import functools
 
@@ -6,7 +6,7 @@
 from whole_path import WholePath, whole_path
 
 WRITTEN_S = 0.15
-"""Lines of logs are written some moments after what they tell."""
+"""Log lines are written shortly after their event."""
 
 
 def played(begin=None, lease_ms=1000, kind=WholePath):
--- a/features/limits/steps/limit_steps.py
+++ b/features/limits/steps/limit_steps.py
@@ -5,8 +5,8 @@
 
 CONTACT_S = 3.0
 WINDOW_S = 4.0
-OVER = 1.5
-SLACK = 5
+BURST_RATIO = 1.5
+BURST_CALLS = 5
 NONE_LIMITED = "knapweedbridge_endpoints_limited 0.0"
 
 
@@ -21,14 +21,14 @@
         await call_repeatedly(path, endpoint, 5, 2, 1, [])
     with anyio.move_on_after(8):
         while NONE_LIMITED not in await metrics(path):
-            # Several at once, as one at a time would all go to one endpoint.
+            # Several at once, as single calls would all go to one endpoint.
             async with anyio.create_task_group() as tasks:
                 for number in range(4):
                     tasks.start_soon(call_service, path, endpoint, number, 1, [])
     context.metrics = await metrics(path)
 
 
-@then("the log tells the limit, its end, and what was known when calls were sent")
+@then("the log shows the limit, its end, and what was known when calls were sent")
 def log_tells(context):
     lines = context.lines
     limits = [each for each in lines if each["message_type"] == "endpoint.limited"]
@@ -38,7 +38,7 @@
     assert {each["limit_per_s"] for each in sent} == {None, 2.5}, sent
 
 
-@then("the metrics count limits that were named and ended")
+@then("the metrics count limits that were set and ended")
 def metrics_count(context):
     for kind in ("named", "ended"):
         assert f'knapweedbridge_endpoint_limits_total{{kind="{kind}"}}' in (
@@ -54,7 +54,7 @@
 @played(lease_ms=3000)
 async def names_limit(context, path, name, limit, calls, seconds):
     endpoint = find_endpoint(path, name)
-    # Each daemon has had answers of all endpoints before.
+    # Each daemon has had responses of all endpoints before.
     await call_repeatedly(path, endpoint, 20, 1, context.daemons, [])
     endpoint.limit_per_s, context.limit_per_s = limit, limit
     context.named_s, context.answers = anyio.current_time(), []
@@ -65,19 +65,19 @@
     context.arrivals_s = endpoint.arrivals_s
 
 
-@then("from 3 s on it gets at most one and a half times that and 5 in any 4 s")
+@then("from 3 s on it gets at most 1.5 times its limit plus 5 in any 4 s")
 def within_limit(context):
-    most = OVER * context.limit_per_s * WINDOW_S + SLACK
+    accepted = BURST_RATIO * context.limit_per_s * WINDOW_S + BURST_CALLS
     bound_s = context.named_s + CONTACT_S
     bound = [each for each in context.arrivals_s if each >= bound_s]
     worst = max(
         (sum(end - WINDOW_S < each <= end for each in bound) for end in bound),
         default=0,
     )
-    assert worst <= most, f"{worst} in {WINDOW_S} s, accepted {most}"
+    assert worst <= accepted, f"{worst} in {WINDOW_S} s, accepted {accepted}"
 
 
-@then("it gets half of its limit at least")
+@then("it gets at least half of its limit")
 def gets_some(context):
     bound_s = context.named_s + CONTACT_S
     got = sum(each >= bound_s for each in context.arrivals_s)
--- a/features/plain/counting.feature
+++ b/features/plain/counting.feature
@@ -1,11 +1,11 @@
-Feature: One daemon for each plain endpoint counts the requests of all
+Feature: A coordinator for each plain endpoint counts the requests of all daemons
 
-  Scenario Outline: Requests of daemons that have one each: <story>
-    Guards against a full endpoint that gets more requests while others are idle.
+  Scenario Outline: Daemons that place one request each: <story>
+    Guards against requests routed to a full endpoint while others are idle.
 
     Given a pool of <daemons> daemons before <endpoints> plain endpoints of 6 slots
     When <requests> daemons of one data centre place a request each, <gap> ms apart
-    Then the endpoints run <running>, and <messages> messages of plain requests were sent
+    Then the endpoints run <running>, and <messages> plain messages were sent
 
     Examples:
       | story                             | daemons | endpoints | requests | gap | running | messages |
@@ -13,20 +13,20 @@
       | the others go to the far one      | 40      | 2         | 10       | 10  | 6 4     | some     |
       | beyond all slots they share       | 40      | 2         | 18       | 10  | 10 8    | some     |
       | one endpoint alone gets all       | 40      | 1         | 8        | 10  | 8       | some     |
-      | a small pool counts its own alone | 16      | 2         | 8        | 10  | 8 0     | no       |
+      | a small pool uses own counts only | 16      | 2         | 8        | 10  | 8 0     | no       |
 
-  Scenario: Of a service with many endpoints not always the same few are asked about
-    Guards against endpoints that are full while others, never asked about, are idle.
+  Scenario: The load of a varying few of a service's many endpoints is requested
+    Guards against full endpoints while others, whose load is never requested, are idle.
 
     Given a pool of 40 daemons before 12 plain endpoints of 6 slots
     When 40 daemons of one data centre place a request each, 10 ms apart
     Then no endpoint runs more than 7 of them
 
-  Scenario Outline: Where the counting daemon does not answer, own counts are used: <story>
-    Guards against requests that wait for a daemon that is gone, or never end there.
+  Scenario Outline: Own counts are used if the coordinator does not respond: <story>
+    Guards against requests that wait for a daemon that is gone, or count there forever.
 
     Given a pool of 40 daemons before 2 plain endpoints of 6 slots
-    When the counting daemon of the near endpoint is <trouble>, and a request is placed
+    When the coordinator of the near endpoint is <trouble>, and a request is placed
     Then it goes to the near endpoint after <least> to <most> ms
     And the next one goes there after 0 to <next> ms
     And a request that is placed <after> s later is counted: <counted>
@@ -36,18 +36,18 @@
       | cut off                              | cut off        | 29    | 31   | 4    | 1.5   | no      |
       | cut off, then not listed             | cut and unlisted later | 29 | 31 | 4 | 2.5  | yes     |
       | of a version that does not count yet | older          | 0     | 3    | 4    | 2.5   | no      |
-      | well                                 | well           | 2     | 10   | 10   | 0.5   | yes     |
+      | healthy                              | healthy        | 2     | 10   | 10   | 0.5   | yes     |
 
-  Scenario Outline: What a placed request counts as after it: <story>
-    Guards against counts that never go down again, which would close an endpoint.
+  Scenario Outline: The count after each placed request: <story>
+    Guards against counts that are never decremented, which would close an endpoint.
 
     Given a pool of 40 daemons before 2 plain endpoints of 6 slots
     When 6 requests are placed at the near endpoint, and each of them <story>
-    Then its counting daemon counts <count> requests there
+    Then its coordinator counts <count> requests there
 
     Examples:
-      | story                            | count |
-      | goes on                          | 6     |
-      | is answered                      | 0     |
-      | is broken off                    | 0     |
-      | is cancelled while it is placed  | 0     |
+      | story                           | count |
+      | is still running                | 6     |
+      | is answered                     | 0     |
+      | is aborted                      | 0     |
+      | is cancelled while it is placed | 0     |
--- a/features/plain/lateness.feature
+++ b/features/plain/lateness.feature
@@ -1,11 +1,11 @@
-Feature: Plain requests of a large pool are late less often than by own counts
+Feature: Plain requests of a large pool are late less often than with own counts
 
   Scenario Outline: 71 daemons before 4 endpoints of 6 slots: <story>
-    Guards against a choice that crowds one endpoint, or sends into slow periods.
+    Guards against routing that overloads one endpoint, or ignores slow periods.
 
     Given 75 requests a second of 90 ms, of which <shares> come from each data centre
     And endpoints that take <factors> times as long, with <waiting> places in a queue
-    When 8 seeds of 40 s are played by own counts, by learning and by counting
+    When 8 seeds of 40 s are simulated with own counts, learning and counting
     Then counting has at most <part> of the late requests of own counts
     And counting has fewer late requests than learning, and at most 11 messages a request
 
--- a/features/plain/steps/counting_steps.py
+++ b/features/plain/steps/counting_steps.py
@@ -28,7 +28,7 @@
 
 
 def played(context, story):
-    """Play a story in a pool whose daemons know each other and the endpoints."""
+    """Run a story in a pool whose daemons know each other and the endpoints."""
 
     async def whole():
         async with anyio.create_task_group() as tasks:
@@ -39,17 +39,17 @@
             pool = RelayPool(tasks, records)
             await anyio.sleep(SETTLED_S)
             for daemon in pool.daemons.values():
-                list_plain(daemon, context.plain)
+                list_endpoints(daemon, context.plain)
             context.sent = 0
             count_messages(context, pool)
-            await greet_all(pool)
+            await probe_versions(pool)
             await story(pool)
             tasks.cancel_scope.cancel()
 
     run_virtually(whole())
 
 
-def list_plain(daemon, count):
+def list_endpoints(daemon, count):
     for number in range(count):
         record = EndpointRecord(
             f"p{number}", "files", "10.0.0.1:80", f"d{number}", 6, False
@@ -69,13 +69,13 @@
     pool.wire.send = counted
 
 
-async def greet_all(pool):
-    """Have each daemon know which of the others count, as after its first requests."""
+async def probe_versions(pool):
+    """Probe the versions of the coordinators, as the first requests do."""
     for daemon in pool.daemons.values():
         for endpoint in endpoints_of(daemon):
-            keeper = load_coordinator(daemon.hub, endpoint)
+            coordinator = load_coordinator(daemon.hub, endpoint)
             if not daemon.hub.cluster.is_small_pool:
-                await daemon.link.plain._asking._may_ask(keeper)
+                await daemon.link.plain._client._may_request(coordinator)
     await anyio.sleep(0.01)
 
 
@@ -84,7 +84,7 @@
 
 
 async def place(daemon, data_centre="d0"):
-    """Place a request as `CallPlacer` does; return its endpoint and how long it took."""
+    """Place a request as `CallPlacer` does; return its endpoint and time in ms."""
     ask = PlainAsk(data_centre, frozenset(), OBJECTIVE_S)
     began_s = anyio.current_time()
     endpoint = await daemon.link.plain.choose(ask, endpoints_of(daemon))
@@ -110,9 +110,7 @@
     played(context, story)
 
 
-@then(
-    "the endpoints run {running}, and {messages} messages of plain requests were sent"
-)
+@then("the endpoints run {running}, and {messages} plain messages were sent")
 def endpoints_run(context, running, messages):
     counts = [context.chosen.count(f"p{n}") for n in range(context.plain)]
     assert counts == list(map(int, running.split())), counts
@@ -125,50 +123,52 @@
     assert max(counts.values()) <= most, counts
 
 
-@when("the counting daemon of the near endpoint is {trouble}, and a request is placed")
+@when("the coordinator of the near endpoint is {trouble}, and a request is placed")
 def in_trouble(context, trouble):
     async def story(pool):
-        keeper = load_coordinator(
+        coordinator = load_coordinator(
             near_daemons(pool)[0].hub, endpoints_of(near_daemons(pool)[0])[0]
         )
-        asker = next(each for each in near_daemons(pool) if each.name != keeper)
+        requester = next(
+            each for each in near_daemons(pool) if each.name != coordinator
+        )
         if trouble.startswith("cut"):
-            pool.wire.cut.add(keeper)
+            pool.wire.cut.add(coordinator)
         elif trouble == "older":
-            make_older(pool, keeper)
-        first, context.first_ms = await place(asker)
-        second, context.next_ms = await place(asker)
+            make_older(pool, coordinator)
+        first, context.first_ms = await place(requester)
+        second, context.next_ms = await place(requester)
         context.names = first.name, second.name
         if "unlisted" in trouble:
-            pool.unlist_daemon(keeper)
-        context.asker, context.pool = asker, pool
+            pool.unlist_daemon(coordinator)
+        context.requester, context.pool = requester, pool
         context.later = []
         for _ in range(2):
-            # The first one greets a counting daemon that is new.
+            # The first request probes the version of a new coordinator.
             await anyio.sleep(1.2)
             placed_s = anyio.current_time()
-            await place(asker)
-            known = asker.link.plain._asking._known.get("p0")
-            context.later.append(known is not None and known.heard_s >= placed_s)
+            await place(requester)
+            known = requester.link.plain._client._known.get("p0")
+            context.later.append(known is not None and known.received_s >= placed_s)
 
     played(context, story)
 
 
-def make_older(pool, keeper):
-    """Have a daemon take no message that older versions do not know."""
-    daemon, take = pool.daemons[keeper], pool.daemons[keeper].link._dispatch
+def make_older(pool, coordinator):
+    """Make a daemon fail on messages that older versions do not know."""
+    daemon, take = pool.daemons[coordinator], pool.daemons[coordinator].link._dispatch
     for each in pool.daemons.values():
-        each.link.plain._asking._understanding.pop(keeper, None)
-        each.link.plain._asking._asked_not_before_s.pop(keeper, None)
+        each.link.plain._client._counting_incarnations.pop(coordinator, None)
+        each.link.plain._client._paused_until_s.pop(coordinator, None)
 
     async def take_older(sender, message):
         if isinstance(message, PermitResponse):
             await daemon.link.permits.handle(sender, message)
             return
-        assert not is_plain_message(message), "its stream would end"
+        assert not is_plain_message(message), "an older daemon would close the stream"
         await take(sender, message)
 
-    pool.wire.hear(keeper, take_older)
+    pool.wire.hear(coordinator, take_older)
 
 
 @then("it goes to the near endpoint after {least:d} to {most:d} ms")
@@ -190,7 +190,7 @@
 
 @when("6 requests are placed at the near endpoint, and each of them {story}")
 def placed_then(context, story):
-    ends = {"is answered": AttemptEnd.ANSWERED, "is broken off": AttemptEnd.ABANDONED}
+    ends = {"is answered": AttemptEnd.ANSWERED, "is aborted": AttemptEnd.ABANDONED}
 
     async def whole(pool):
         for daemon in near_daemons(pool)[:6]:
@@ -202,15 +202,15 @@
             if story in ends:
                 await daemon.link.plain.ended(endpoint, ends[story])
         await anyio.sleep(0.05)
-        asker = near_daemons(pool)[0]
-        endpoint = endpoints_of(asker)[0]
-        keeper = pool.daemons[load_coordinator(asker.hub, endpoint)]
-        counter = keeper.link.plain._counters._counters[endpoint.start]
+        requester = near_daemons(pool)[0]
+        endpoint = endpoints_of(requester)[0]
+        coordinator = pool.daemons[load_coordinator(requester.hub, endpoint)]
+        counter = coordinator.link.plain._server._counters[endpoint.start]
         context.count = counter.state(anyio.current_time()).running
 
     played(context, whole)
 
 
-@then("its counting daemon counts {count:d} requests there")
+@then("its coordinator counts {count:d} requests there")
 def counts(context, count):
     assert context.count == count, context.count
--- a/features/plain/steps/entry_steps.py
+++ b/features/plain/steps/entry_steps.py
@@ -17,7 +17,7 @@
 from knapweedbridge_platform.items import PlatformItems
 from knapweedbridge_standins.virtual_loop import run_virtually
 
-GOOD = {
+VALID = {
     "version": "1",
     "seq": 3,
     "cold_left_ms": 0,
@@ -31,7 +31,7 @@
 }
 VICTIM, OTHER = "servers/victim", "servers/other"
 SAFE = set(map(chr, range(0x21, 0x7F)))
-MOST = 1 << 63
+MAX_NUMBER = 1 << 63
 
 SCALARS = st.one_of(
     st.none(),
@@ -68,9 +68,9 @@
 
 
 @st.composite
-def wrong_in_a_field(draw):
-    entry = dict(GOOD)
-    for field in draw(st.sets(st.sampled_from(sorted(GOOD)), min_size=1, max_size=2)):
+def with_wrong_field(draw):
+    entry = dict(VALID)
+    for field in draw(st.sets(st.sampled_from(sorted(VALID)), min_size=1, max_size=2)):
         if draw(st.integers(0, 5)) == 0:
             del entry[field]
         elif field == "models":
@@ -86,7 +86,7 @@
 ).map(lambda found: json.dumps(found).encode())
 
 KINDS = {
-    "versions with a field wrong": st.tuples(
+    "versions with a wrong field": st.tuples(
         st.just("op/version/m"),
         st.one_of(VERSIONS, st.just(b'{"model": "m", "version": 1e999}')),
     ),
@@ -94,16 +94,16 @@
     "any JSON": st.tuples(
         st.just(VICTIM), ANY_JSON.map(lambda found: json.dumps(found).encode())
     ),
-    "good ones with a field wrong": wrong_in_a_field(),
+    "valid ones with a wrong field": with_wrong_field(),
     "under any name": st.tuples(
         st.text(max_size=6).map(lambda name: "servers/" + name),
-        st.just(json.dumps(GOOD).encode()),
+        st.just(json.dumps(VALID).encode()),
     ),
 }
 
 
-class Lines:
-    """Keeps the kinds of log lines."""
+class RecordingLog:
+    """Records the types of log lines."""
 
     def __init__(self):
         self.kinds = []
@@ -120,7 +120,7 @@
         Identity("h1", 1, "d0", "a:1"),
         dialects,
         RetryBudget(0.2, 50, 10),
-        Lines(),
+        RecordingLog(),
         MetricsRegistry(),
         steady_s=anyio.current_time,
     )
@@ -132,42 +132,46 @@
     return {each.name: each for each in fleet.engines() if each.accepts_work(now_s)}
 
 
-def good(**fields):
-    return json.dumps({**GOOD, **fields}).encode()
+def valid_entry(**fields):
+    return json.dumps({**VALID, **fields}).encode()
 
 
-async def take_all(context, key, value):
+async def read_entries(context, key, value):
     hub, follower = make_follower()
-    follower._take([StoreItem(VICTIM, good(), 1), StoreItem(OTHER, good(), 2)], 0.0)
+    follower._take(
+        [StoreItem(VICTIM, valid_entry(), 1), StoreItem(OTHER, valid_entry(), 2)], 0.0
+    )
     follower._take([StoreItem(key, value, 3)], 0.0)
     context.hub, found = hub, in_use(hub)
     if "other" not in found and key != OTHER:
         context.hidden.append(value)
     for endpoint in found.values():
-        if not can_be_carried(hub, endpoint):
-            context.uncarried.append((key, value))
-    again = good(born=GOOD["born"] + 1)
-    follower._take([StoreItem(VICTIM, again, 4), StoreItem(OTHER, good(), 5)], 0.0)
+        if not is_sendable(hub, endpoint):
+            context.unsendable.append((key, value))
+    again = valid_entry(born=VALID["born"] + 1)
+    follower._take(
+        [StoreItem(VICTIM, again, 4), StoreItem(OTHER, valid_entry(), 5)], 0.0
+    )
     victim = in_use(hub).get("victim")
-    if victim is None or victim.record.address != GOOD["address"]:
+    if victim is None or victim.record.address != VALID["address"]:
         context.lost.append(value)
 
 
-def can_be_carried(hub, endpoint):
+def is_sendable(hub, endpoint):
     record = endpoint.record
-    # Those two go into headers; the others into log lines and messages.
+    # These two are sent in headers, the others in log lines and messages.
     sent = all(text and set(text) <= SAFE for text in (record.endpoint, record.address))
     if not sent or not (record.service + record.data_centre).isprintable():
         return False
     numbers = [record.slots, record.started_ms, *record.adapters.values()]
-    if not all(0 <= each < MOST for each in numbers):
+    if not all(0 <= each < MAX_NUMBER for each in numbers):
         return False
     return bool(encode(hub.cluster.fleet.build_snapshot(endpoint, 0.0)))
 
 
-@when("{count:d} entries are taken that are {kind}")
+@when("{count:d} entries are read that are {kind}")
 def entries_taken(context, count, kind):
-    context.hidden, context.uncarried, context.lost = [], [], []
+    context.hidden, context.unsendable, context.lost = [], [], []
 
     @seed(1)
     @settings(
@@ -179,19 +183,19 @@
     )
     @given(KINDS[kind])
     def take(entry):
-        run_virtually(take_all(context, *entry))
+        run_virtually(read_entries(context, *entry))
 
     take()
 
 
-@then("no entry ended the follower or took another endpoint out of use")
+@then("no entry stopped the follower or took another endpoint out of use")
 def none_hidden(context):
     assert not context.hidden, context.hidden[:5]
 
 
-@then("each endpoint in use has fields that requests and messages can carry")
+@then("each endpoint in use has fields that are valid in requests and messages")
 def all_carried(context):
-    assert not context.uncarried, (len(context.uncarried), context.uncarried[:5])
+    assert not context.unsendable, (len(context.unsendable), context.unsendable[:5])
 
 
 @then("each endpoint is in use again after its server's next entry")
@@ -199,9 +203,9 @@
     assert not context.lost, (len(context.lost), context.lost[:5])
 
 
-@when("an entry is taken with {field} {value}")
+@when("an entry is read with {field} {value}")
 def entry_with(context, field, value):
-    entry = dict(GOOD)
+    entry = dict(VALID)
     if value == "missing":
         del entry[field]
     else:
@@ -209,7 +213,7 @@
 
     async def taken():
         context.hub, follower = make_follower()
-        follower._take([StoreItem(VICTIM, good(), 1)], 0.0)
+        follower._take([StoreItem(VICTIM, valid_entry(), 1)], 0.0)
         for revision in (2, 3):
             value = json.dumps(entry).encode()
             follower._take([StoreItem(VICTIM, value, revision)], 0.0)
@@ -218,7 +222,7 @@
     run_virtually(taken())
 
 
-@then("its endpoint gets no requests, and one line tells of it")
+@then("its endpoint gets no requests, and one log line reports it")
 def gets_none(context):
     assert not context.names, context.names
     count = context.hub.log.kinds.count("store.unreadable")
--- a/features/plain/steps/lateness_steps.py
+++ b/features/plain/steps/lateness_steps.py
@@ -19,7 +19,7 @@
     )
 
 
-@when("{seeds:d} seeds of 40 s are played by own counts, by learning and by counting")
+@when("{seeds:d} seeds of 40 s are simulated with own counts, learning and counting")
 def played(context, seeds):
     context.found = {}
     for name, way in WAYS.items():
--- a/features/plain/steps/memory_steps.py
+++ b/features/plain/steps/memory_steps.py
@@ -16,7 +16,7 @@
 
 CALLERS = 500
 PIECES = 4
-PAUSES_S = {"nothing for 60 s": 60.0, "a piece each 3 s": 3.0, "at once": 0.0}
+PAUSES_S = {"nothing for 60 s": 60.0, "a piece every 3 s": 3.0, "at once": 0.0}
 
 
 @given("a budget of {limit:g} MB")
@@ -27,15 +27,15 @@
 class Reader:
     """A caller whose body is held until it has read all pieces of its response."""
 
-    def __init__(self, budget, number, came_s, body_bytes, pause_s):
+    def __init__(self, budget, number, arrived_s, body_bytes, pause_s):
         self.budget, self.body_bytes, self.pause_s = budget, body_bytes, pause_s
         self.pieces = PIECES
-        self.read_s = came_s
+        self.read_s = arrived_s
         budget.hold(HeldKind.BODIES, body_bytes)
-        self.number = budget.begin_write(PIECE_BYTES, came_s)
+        self.number = budget.begin_write(PIECE_BYTES, arrived_s)
 
     def step(self, now_s):
-        """Read what is due; tell whether all is read."""
+        """Read what is due; return whether everything is read."""
         if now_s - self.read_s < self.pause_s:
             return False
         self.read_s = now_s
@@ -78,7 +78,7 @@
 
 @then("at most {most:g} MB are held, and nothing at the end")
 def at_most_held(context, most):
-    # The response of a caller that was taken just below the limit comes on top.
+    # A caller accepted just below the limit adds its response.
     assert context.most_bytes <= most * 1e6 + PIECE_BYTES, context.most_bytes
     assert context.budget.held_bytes == 0, context.budget
 
--- a/packages/daemon/src/knapweedbridge_daemon/serving/account_quotas.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/account_quotas.py
@@ -1,4 +1,7 @@
-"""Takes units of client accounts' quotas for calls."""
+"""Takes units of client accounts' quotas for calls.
+
+The coordinators of the parts of a quota grant units in advance of calls.
+"""
 
 import random
 from collections import defaultdict, deque
@@ -12,20 +15,21 @@
 from knapweedbridge_daemon.serving.hub import Hub, Send
 from knapweedbridge_daemon.serving.quota_parts import QuotaParts
 
-ANSWER_S = 0.05
-"""How long a keeper's answer is awaited, before another one is asked: ways take
-milliseconds."""
+RESPONSE_TIMEOUT_S = 0.05
+"""Timeout for the response of a coordinator, after which another one gets the request;
+a message takes milliseconds."""
 
-TAKE_S = 0.5
-"""How long a call waits for its units while a keeper is silent: after a restart of all
-daemons those that are back first know nobody who could give them any."""
+MAX_WAIT_S = 0.5
+"""Longest wait of a call for its units while a coordinator does not respond. After a
+restart of all daemons the first ones know no coordinator yet."""
 
-SILENT_AFTER_S = 0.3
-"""When to come back after that: another daemon may reach a keeper."""
+NO_RESPONSE_RETRY_AFTER_S = 0.3
+"""Retry-After of a call refused after that wait; another daemon may reach a
+coordinator."""
 
-OVER_QUOTA_AFTER_S = (0.3, 1.2)
-"""Added to the time after which units may be there: callers who return together would
-find them used by the first."""
+RETRY_JITTER_S = (0.3, 1.2)
+"""Bounds of the random delay added to the time until units may be available. Without it
+callers would retry together, and only the first would get units."""
 
 
 @dataclass(slots=True, eq=False)
@@ -38,75 +42,77 @@
 
 
 @dataclass(slots=True)
-class Purse:
-    """One account's units here, the calls that wait, and the keeper that was asked."""
+class LocalQuota:
+    """An account's units in this daemon, its waiting calls and its pending request."""
 
-    held: QuotaBalance = field(default_factory=QuotaBalance)
+    balance: QuotaBalance = field(default_factory=QuotaBalance)
     waiting: deque[Waiter] = field(default_factory=deque)
-    asked: str = ""
-    asked_s: float = 0.0
+    requested_from: str = ""
+    requested_s: float = 0.0
 
 
 class AccountQuotas:
-    """The quotas of client accounts, as far as this daemon has to do with them.
+    """Takes units for calls, and grants those of the parts assigned to this daemon.
 
     Parameters
     ----------
     hub : Hub
-        Beliefs.
+        The state of this daemon.
     send : callable
-        Sends a message to a daemon, this one too.
+        Sends a message to a daemon, which may be this one.
     """
 
     def __init__(self, hub: Hub, send: Send) -> None:
         self._hub = hub
         self._send = send
-        self._purses: dict[str, Purse] = defaultdict(Purse)
+        self._local_quotas: dict[str, LocalQuota] = defaultdict(LocalQuota)
         self.parts = QuotaParts(hub)
 
     async def take(
         self, account: ClientAccount | None, tokens: int | None
     ) -> Refusal | None:
-        """Take a call's units; return its refusal where its account has too few."""
+        """Take a call's units; return a refusal if its account has too few."""
         if account is None or account.quota is None:
             return None
         units, now_s = account.quota.cost(tokens), anyio.current_time()
-        purse = self._purses[account.name]
-        purse.held.record_use(units, now_s)
-        if purse.waiting or not purse.held.spend(units, now_s):
-            return await self._wait_for(account.name, purse, units)
-        if purse.held.held(now_s) < purse.held.ahead(now_s) / 2:
-            await self._ask(account.name, purse)
+        local = self._local_quotas[account.name]
+        local.balance.record_use(units, now_s)
+        if local.waiting or not local.balance.spend(units, now_s):
+            return await self._wait_for(account.name, local, units)
+        if local.balance.held(now_s) < local.balance.ahead(now_s) / 2:
+            await self._request_units(account.name, local)
         return None
 
     def give_back(self, account: ClientAccount | None, tokens: int | None) -> None:
-        """Take back the units of a call that was not run."""
+        """Return the units of a call that was not run."""
         if account is None or account.quota is None:
             return
-        purse = self._purses.get(account.name)
-        if purse is not None:
-            purse.held.put(account.quota.cost(tokens), anyio.current_time())
-            self._serve(purse)
+        local = self._local_quotas.get(account.name)
+        if local is not None:
+            local.balance.put(account.quota.cost(tokens), anyio.current_time())
+            self._release_waiting(local)
 
-    async def _wait_for(self, account: str, purse: Purse, units: int) -> Refusal | None:
+    async def _wait_for(
+        self, account: str, local: LocalQuota, units: int
+    ) -> Refusal | None:
         waiter = Waiter(units)
-        purse.waiting.append(waiter)
-        until_s = anyio.current_time() + TAKE_S
+        local.waiting.append(waiter)
+        until_s = anyio.current_time() + MAX_WAIT_S
         try:
             while not waiter.done.is_set() and anyio.current_time() < until_s:
-                await self._ask(account, purse)
-                with anyio.move_on_after(ANSWER_S):
+                await self._request_units(account, local)
+                with anyio.move_on_after(RESPONSE_TIMEOUT_S):
                     await waiter.done.wait()
         finally:
-            if waiter in purse.waiting:
-                purse.waiting.remove(waiter)
-        return None if waiter.has_units else self._refusal(account, purse, units)
+            if waiter in local.waiting:
+                local.waiting.remove(waiter)
+        return None if waiter.has_units else self._refusal(account, local, units)
 
-    def _refusal(self, account: str, purse: Purse, units: int) -> Refusal:
-        has_silent_coordinator = purse.held.has_silent_coordinator(
+    def _refusal(self, account: str, local: LocalQuota, units: int) -> Refusal:
+        has_silent_coordinator = local.balance.has_silent_coordinator(
             self.parts.coordinators(account)
         )
-        wait_s = purse.held.wait_s(anyio.current_time())
+        wait_s = local.balance.wait_s(anyio.current_time())
         self._hub.metrics.count(
             "quota", "silent" if has_silent_coordinator else "refused"
         )
@@ -118,78 +124,78 @@
             wait_s=round(wait_s, 3),
         )
         if has_silent_coordinator:
-            return Refusal(503, "quota_unknown", SILENT_AFTER_S)
-        return Refusal(429, "over_quota", wait_s + random.uniform(*OVER_QUOTA_AFTER_S))
+            return Refusal(503, "quota_unknown", NO_RESPONSE_RETRY_AFTER_S)
+        return Refusal(429, "over_quota", wait_s + random.uniform(*RETRY_JITTER_S))
 
-    async def _ask(self, account: str, purse: Purse) -> None:
-        """Ask a keeper for what waits; refuse what waits where none has anything."""
+    async def _request_units(self, account: str, local: LocalQuota) -> None:
+        """Request units for the waiting calls; refuse them if nobody has any."""
         now_s = anyio.current_time()
-        if purse.asked:
-            if now_s - purse.asked_s < ANSWER_S:
+        if local.requested_from:
+            if now_s - local.requested_s < RESPONSE_TIMEOUT_S:
                 return
-            purse.held.unanswered(purse.asked, now_s)
+            local.balance.unanswered(local.requested_from, now_s)
             self._hub.metrics.count("quota", "unanswered")
-        able = self.parts.coordinators(account)
-        keeper = purse.held.next_coordinator(able, now_s)
-        purse.asked = keeper or ""
-        if keeper is None:
-            if not purse.held.has_silent_coordinator(able):
-                self._refuse_waiting(purse)
+        candidates = self.parts.coordinators(account)
+        coordinator = local.balance.next_coordinator(candidates, now_s)
+        local.requested_from = coordinator or ""
+        if coordinator is None:
+            if not local.balance.has_silent_coordinator(candidates):
+                self._refuse_waiting(local)
             return
-        purse.asked_s = now_s
+        local.requested_s = now_s
         self._hub.metrics.count("quota", "asked")
-        await self._send(keeper, self._question(account, purse, now_s))
+        await self._send(coordinator, self._make_request(account, local, now_s))
 
     @staticmethod
-    def _question(account: str, purse: Purse, now_s: float) -> QuotaRequest:
-        held = purse.held.held(now_s)
-        units = [waiter.units for waiter in purse.waiting]
+    def _make_request(account: str, local: LocalQuota, now_s: float) -> QuotaRequest:
+        held = local.balance.held(now_s)
+        units = [waiter.units for waiter in local.waiting]
         needed = max(0, units[0] - held) if units else 0
-        ahead = purse.held.ahead(now_s) - (0 if units else held)
+        ahead = local.balance.ahead(now_s) - (0 if units else held)
         return QuotaRequest(account, needed, sum(units[1:]), max(0, ahead))
 
     @staticmethod
-    def _refuse_waiting(purse: Purse) -> None:
-        for waiter in purse.waiting:
+    def _refuse_waiting(local: LocalQuota) -> None:
+        for waiter in local.waiting:
             waiter.done.set()
-        purse.waiting.clear()
+        local.waiting.clear()
 
-    def _serve(self, purse: Purse) -> None:
+    def _release_waiting(self, local: LocalQuota) -> None:
         now_s = anyio.current_time()
-        while purse.waiting and purse.held.spend(purse.waiting[0].units, now_s):
-            waiter = purse.waiting.popleft()
+        while local.waiting and local.balance.spend(local.waiting[0].units, now_s):
+            waiter = local.waiting.popleft()
             waiter.has_units = True
             waiter.done.set()
 
     async def handle(self, daemon: str, message: QuotaRequest | QuotaResponse) -> None:
-        """Take a daemon's question to a keeper, or a keeper's answer."""
+        """Handle a request for units, or a coordinator's response."""
         if isinstance(message, QuotaRequest):
-            await self._asked(daemon, message)
+            await self._handle_request(daemon, message)
         else:
-            await self._given(daemon, message)
+            await self._handle_response(daemon, message)
 
-    async def _asked(self, daemon: str, message: QuotaRequest) -> None:
-        given = self.parts.give(message)
-        self._hub.metrics.count("quota", "given" if given.units else "not_given")
-        answer = QuotaResponse(
-            message.account, given.units, given.wait_s, given.is_known
+    async def _handle_request(self, daemon: str, message: QuotaRequest) -> None:
+        grant = self.parts.grant(message)
+        self._hub.metrics.count("quota", "given" if grant.units else "not_given")
+        response = QuotaResponse(
+            message.account, grant.units, grant.wait_s, grant.is_known
         )
-        await self._send(daemon, answer)
+        await self._send(daemon, response)
 
-    async def _given(self, keeper: str, message: QuotaResponse) -> None:
-        purse = self._purses.get(message.account)
-        if purse is None:
+    async def _handle_response(self, coordinator: str, message: QuotaResponse) -> None:
+        local = self._local_quotas.get(message.account)
+        if local is None:
             return
         now_s = anyio.current_time()
         if message.is_known:
-            purse.held.answered(
-                keeper, QuotaGrant(message.units, message.wait_s), now_s
+            local.balance.answered(
+                coordinator, QuotaGrant(message.units, message.wait_s), now_s
             )
         else:
-            purse.held.unanswered(keeper, now_s)
+            local.balance.unanswered(coordinator, now_s)
             self._hub.metrics.count("quota", "unknown")
-        self._serve(purse)
-        if purse.asked == keeper:
-            purse.asked = ""
-            if purse.waiting:
-                await self._ask(message.account, purse)
+        self._release_waiting(local)
+        if local.requested_from == coordinator:
+            local.requested_from = ""
+            if local.waiting:
+                await self._request_units(message.account, local)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/memory_guard.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/memory_guard.py
@@ -1,4 +1,4 @@
-"""Keeps what is held for callers within one budget of memory."""
+"""Keeps the memory held for callers within one budget."""
 
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
@@ -19,19 +19,20 @@
 from knapweedbridge_daemon.serving.wire import Headers, ResponseHead
 
 PIECE_BYTES = 65536
-"""Part of a long answer that is written at once: that a caller reads shows by it."""
+"""Part of a long response that is written at once; each one written shows that the
+caller reads."""
 
-LOOK_S = 0.5
-"""Pause between looks for callers that read nothing."""
+CHECK_INTERVAL_S = 0.5
+"""Interval between checks for callers that read nothing."""
 
 
 class MemoryGuard:
-    """Refuses requests, and disconnects callers, where too much is held.
+    """Refuses requests and disconnects callers if too much memory is held.
 
     Parameters
     ----------
     hub : Hub
-        The budget, the log and the measures.
+        The budget, the log and the metrics.
     """
 
     def __init__(self, hub: Hub) -> None:
@@ -40,7 +41,7 @@
         self._disconnects: dict[int, Callable[[], None]] = {}
 
     def guard(self, handler: Handler) -> Handler:
-        """Return a handler that keeps within the budget; the same one without any."""
+        """Return a handler that keeps within the budget, if there is a budget."""
         if not self._budget.limit_bytes:
             return handler
 
@@ -55,10 +56,10 @@
         return guarded
 
     def refusal(self, body_bytes: int) -> Refusal | None:
-        """Return why a request with such a body is not taken; None where it is.
+        """Return the refusal of a request with such a body; None if it is accepted.
 
-        The reader of requests may ask this when it has read a head, so that the body of
-        a refused request is never held.
+        The reader of requests may call this after a head, so that the body of a refused
+        request is never held.
         """
         if not self._budget.must_refuse(body_bytes):
             return None
@@ -79,11 +80,13 @@
                 watched = WatchedResponder(responder, self, scope)
                 await handler(request, cast(Responder, watched))
         if scope.cancelled_caught:
-            raise CallerDisconnectedError("read nothing while memory was scarce")
+            raise CallerDisconnectedError(
+                "the caller read nothing while memory was scarce"
+            )
 
     @contextmanager
     def holding(self, kind: HeldKind, size_bytes: int) -> Iterator[None]:
-        """Count bytes as held while in the context."""
+        """Count bytes as held within the context."""
         self._budget.hold(kind, size_bytes)
         try:
             yield
@@ -91,24 +94,24 @@
             self._budget.hold(kind, -size_bytes)
 
     def begin_write(self, size_bytes: int, disconnect: Callable[[], None]) -> int:
-        """Take that a caller has yet to read some bytes; return its number."""
+        """Record bytes that a caller has yet to read; return the reader's number."""
         reader = self._budget.begin_write(size_bytes, anyio.current_time())
         self._disconnects[reader] = disconnect
         return reader
 
     def record_read(self, reader: int, size_bytes: int) -> None:
-        """Take that a caller has read some of them."""
+        """Record that a caller has read some of its bytes."""
         self._budget.record_read(reader, size_bytes, anyio.current_time())
 
     def end_write(self, reader: int) -> None:
-        """Take that the caller has read all, or is gone."""
+        """Record that a caller has read everything or is gone."""
         del self._disconnects[reader]
         self._budget.end_write(reader)
 
     async def run(self) -> None:
-        """Disconnect callers that read nothing until cancelled."""
+        """Until cancelled, disconnect callers that read nothing."""
         while self._budget.limit_bytes:
-            await anyio.sleep(LOOK_S)
+            await anyio.sleep(CHECK_INTERVAL_S)
             readers = self._budget.silent_readers(anyio.current_time())
             if not readers:
                 continue
@@ -124,33 +127,33 @@
 
 
 class WatchedResponder:
-    """Writes the answer to one request, and sees whether its caller reads it.
+    """Writes the response to one request, and tracks whether its caller reads it.
 
     Parameters
     ----------
     responder : Responder
-        Writes it; it awaits each write.
-    held : MemoryGuard
-        Counts what is not read yet.
+        Writes the response, and awaits each write.
+    guard : MemoryGuard
+        Counts the bytes that are not read yet.
     scope : CancelScope
-        Ends the request where its caller is disconnected.
+        Ends the request when its caller is disconnected.
     """
 
     def __init__(
-        self, responder: Responder, held: MemoryGuard, scope: anyio.CancelScope
+        self, responder: Responder, guard: MemoryGuard, scope: anyio.CancelScope
     ) -> None:
         self._responder = responder
-        self._held = held
+        self._guard = guard
         self._scope = scope
 
     @property
     def begun(self) -> bool:
-        """Whether the answer has begun."""
+        """Whether the response has begun."""
         return self._responder.begun
 
     @property
     def ended(self) -> bool:
-        """Whether the answer is whole."""
+        """Whether the response is complete."""
         return self._responder.ended
 
     async def start(self, head: ResponseHead) -> None:
@@ -163,27 +166,27 @@
 
     async def send(self, data: bytes) -> None:
         """See `Responder.send`."""
-        reader = self._held.begin_write(len(data), self._scope.cancel)
+        reader = self._guard.begin_write(len(data), self._scope.cancel)
         try:
             await self._send_pieces(reader, data)
         finally:
-            self._held.end_write(reader)
+            self._guard.end_write(reader)
 
     async def end(self, data: bytes = b"") -> None:
         """See `Responder.end`."""
-        reader = self._held.begin_write(len(data), self._scope.cancel)
+        reader = self._guard.begin_write(len(data), self._scope.cancel)
         try:
             last = max(0, len(data) - 1) // PIECE_BYTES * PIECE_BYTES
             await self._send_pieces(reader, data[:last])
             await self._responder.end(data[last:])
         finally:
-            self._held.end_write(reader)
+            self._guard.end_write(reader)
 
     async def _send_pieces(self, reader: int, data: bytes) -> None:
         for begin in range(0, len(data), PIECE_BYTES):
             piece = data[begin : begin + PIECE_BYTES]
             await self._responder.send(piece)
-            self._held.record_read(reader, len(piece))
+            self._guard.record_read(reader, len(piece))
 
     async def answer(
         self, status: int, headers: Headers, body: bytes, close: bool = False
--- a/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/peer_link.py
@@ -1,4 +1,4 @@
-"""Messages between serving daemons, over the product's peer streams."""
+"""Exchange of messages between serving daemons, over peer streams."""
 
 from collections.abc import Awaitable, Callable
 from typing import Any, get_args
@@ -40,28 +40,30 @@
 from knapweedbridge_daemon.serving.turns import Turns
 from knapweedbridge_daemon.serving.update_relay import UpdateRelay
 
-SILENCE_S = 1.5
-"""Silence that closes a stream between daemons: answers take milliseconds."""
+SILENCE_TIMEOUT_S = 1.5
+"""Silence after which a stream between daemons is closed; responses take
+milliseconds."""
 
-ASK_LOAD_S = 0.02
-"""Pause between questions for the load of an engine: an answer takes milliseconds."""
+LOAD_REQUEST_INTERVAL_S = 0.02
+"""Least time between requests for the load of an engine; a response takes
+milliseconds."""
 
-ASK_RELAY_S = 0.5
-"""Pause between questions to relays: an answer comes with its next message."""
+RELAY_REQUEST_INTERVAL_S = 0.5
+"""Least time between requests to a relay, which responds with its next update."""
 
-ASK_ALL_S = 0.2
-"""Pause between questions for all of an engine, where a telling was missed."""
+SNAPSHOT_REQUEST_INTERVAL_S = 0.2
+"""Least time between requests for a snapshot of an engine after a missed update."""
 
 
 class PeerLink:
-    """Sends and takes the messages between daemons.
+    """Sends messages to other daemons and dispatches those received.
 
     Parameters
     ----------
     hub : Hub
-        Beliefs, which messages change.
+        The state of this daemon, which messages update.
     tunnels : int
-        Connections to endpoints that are carried for other hosts at once.
+        Most tunnels to endpoints that are forwarded for other hosts at once.
     """
 
     def __init__(self, hub: Hub, tunnels: int = 0) -> None:
@@ -77,32 +79,32 @@
         self.quotas = AccountQuotas(hub, self.send)
         self.resuming = StreamResumer(hub, self.send)
         self.crashes = CrashWatch(hub, self.send)
-        self._relays_asked_s: dict[str, float] = {}
-        self.on_store_update: Callable[[str, StoreUpdate], int] = lambda *told: 0
+        self._relay_requests_s: dict[str, float] = {}
+        self.on_store_update: Callable[[str, StoreUpdate], int] = lambda *_: 0
         self._peers: Peers | None = None
-        self._takers = self._make_takers()
+        self._handlers = self._make_handlers()
 
-    def _make_takers(self) -> dict[type, Callable[[str, Any], Awaitable[None]]]:
-        """Return what takes a message, by its class; others are passed over."""
-        takers: dict[type, Callable[[str, Any], Awaitable[None]]] = {
-            EngineSnapshot: self._take_of_owner,
-            EngineDelta: self._take_of_owner,
-            TurnGrant: self._take_turns,
-            OwnerAck: self._take_answered,
+    def _make_handlers(self) -> dict[type, Callable[[str, Any], Awaitable[None]]]:
+        """Return the handlers by class of message; other messages are ignored."""
+        handlers: dict[type, Callable[[str, Any], Awaitable[None]]] = {
+            EngineSnapshot: self._handle_owner_update,
+            EngineDelta: self._handle_owner_update,
+            TurnGrant: self._handle_turn_grant,
+            OwnerAck: self._handle_owner_ack,
         }
-        takers |= dict.fromkeys((QuotaRequest, QuotaResponse), self.quotas.handle)
-        takers |= dict.fromkeys(get_args(LossMessage), self.crashes.handle)
-        of_calls = get_args(PlainMessage) + get_args(PermitMessage)
-        takers |= dict.fromkeys(of_calls, self._take_of_calls)
-        takers |= dict.fromkeys(get_args(OriginMessage), self.resuming.handle)
-        of_relay = StoreUpdate, StoreMark, RelayRequest
-        takers |= dict.fromkeys(of_relay, self._take_of_relay)
-        return takers | dict.fromkeys(get_args(OwnerMessage), self.owners.handle)
+        handlers |= dict.fromkeys((QuotaRequest, QuotaResponse), self.quotas.handle)
+        handlers |= dict.fromkeys(get_args(LossMessage), self.crashes.handle)
+        call_messages = get_args(PlainMessage) + get_args(PermitMessage)
+        handlers |= dict.fromkeys(call_messages, self._handle_call_message)
+        handlers |= dict.fromkeys(get_args(OriginMessage), self.resuming.handle)
+        relay_messages = StoreUpdate, StoreMark, RelayRequest
+        handlers |= dict.fromkeys(relay_messages, self._handle_relay_message)
+        return handlers | dict.fromkeys(get_args(OwnerMessage), self.owners.handle)
 
     async def send(self, daemon: str, message: Any) -> None:
         """Send a message to a daemon, which may be this one.
 
-        One whose version does not understand it is sent nothing.
+        Nothing is sent to a daemon whose version does not understand the message.
         """
         if daemon == self._hub.identity.name:
             await self._dispatch(daemon, message)
@@ -112,14 +114,14 @@
             self._peers.send(daemon, message)
 
     async def run(self, tasks: TaskGroup, address: tuple[str, int]) -> None:
-        """Link with the daemons that are listed until cancelled."""
+        """Keep connections to the listed daemons until cancelled."""
         while not self._hub.cluster.secret:
             await self._hub.cluster_changed.wait(1.0)
         identity = self._hub.identity
         self._peers = Peers(
             identity.name,
             self._hub.cluster.secret,
-            SILENCE_S,
+            SILENCE_TIMEOUT_S,
             self._submit,
             identity.incarnation,
             serve_tunnel=self.forwarding.serve,
@@ -139,7 +141,7 @@
             )
             starts = {name: each.incarnation for name, each in others.items()}
             for name, start in known.items():
-                # The calls of a daemon that was started anew ended with it.
+                # The calls of a daemon ended with its previous process.
                 if starts.get(name, start) != start:
                     self.owners.forget_daemon(name)
             known = starts
@@ -154,40 +156,42 @@
             self._hub.log.info("peer.unlinked", peer=event.host)
 
     async def _dispatch(self, daemon: str, message: Any) -> None:
-        take = self._takers.get(type(message))
-        if take is not None:
-            await take(daemon, message)
+        handler = self._handlers.get(type(message))
+        if handler is not None:
+            await handler(daemon, message)
 
-    async def _take_turns(self, daemon: str, message: TurnGrant) -> None:
-        self.turns.given(message)
+    async def _handle_turn_grant(self, daemon: str, message: TurnGrant) -> None:
+        self.turns.record_grant(message)
 
-    async def _take_of_owner(
+    async def _handle_owner_update(
         self, daemon: str, message: EngineSnapshot | EngineDelta
     ) -> None:
-        """Take what an owner tells this daemon itself of its engine."""
+        """Handle an update of an engine that its owner sent directly."""
         if isinstance(message, EngineDelta):
-            await self._take_changed(message)
-        elif self._take_told(message, anyio.current_time()):
+            await self._handle_delta(message)
+        elif self._apply_snapshot(message, anyio.current_time()):
             self.relaying.record_engine_update(message)
 
-    async def _take_of_relay(
+    async def _handle_relay_message(
         self, daemon: str, message: StoreUpdate | StoreMark | RelayRequest
     ) -> None:
-        """Take what a relay tells this daemon, or what a hearer asks of it."""
+        """Handle an update from a relay, or the request of a subscriber."""
         if isinstance(message, StoreUpdate):
             missed_after = self.on_store_update(daemon, message)
             if missed_after:
-                # A daemon that the store turns away has no other way to hear of it: it
-                # went on by an old configuration, beside a relay that had the new one.
-                await self._ask_relay(daemon, RelayRequest(False, missed_after))
-            await self._take_relayed(daemon, message)
+                # A daemon that the store rejects has no other source of the missed
+                # events: one kept an old configuration although its relay had the new.
+                await self._request_from_relay(
+                    daemon, RelayRequest(False, missed_after)
+                )
+            await self._apply_relayed(daemon, message)
         elif isinstance(message, StoreMark):
             self.relaying.record_mark(daemon, message.mark_s)
         else:
             await self.relaying.record_relay_request(daemon, message)
 
-    def _take_told(self, message: EngineSnapshot, now_s: float) -> bool:
-        """Take all that is told of an engine; False where that is outdated."""
+    def _apply_snapshot(self, message: EngineSnapshot, now_s: float) -> bool:
+        """Apply a snapshot of an engine; return False if it is outdated."""
         self._hub.load_times.told(message.cold_s)
         self._hub.load_times.record_trial_success(message.loads_at_once)
         known = self._hub.cluster.fleet.endpoints.get(message.endpoint)
@@ -197,35 +201,37 @@
             return False
         self._hub.engines_changed.tell()
         if message.number != before:
-            # It cannot know of calls that began under the owner before it.
+            # A new owner cannot know of calls that began under the previous one.
             self.running.tell(endpoint.start)
         return True
 
-    async def _take_changed(self, message: EngineDelta) -> None:
+    async def _handle_delta(self, message: EngineDelta) -> None:
         fleet = self._hub.cluster.fleet
-        if self._take_change(message, anyio.current_time()):
+        if self._apply_delta(message, anyio.current_time()):
             self.relaying.record_engine_update(message)
         elif fleet.has_gap_before(message):
             endpoint = fleet.endpoints[message.endpoint]
             if endpoint.owner:
-                await self._ask(endpoint, endpoint.owner, ASK_ALL_S)
+                await self._request_snapshot(
+                    endpoint, endpoint.owner, SNAPSHOT_REQUEST_INTERVAL_S
+                )
 
-    def _take_change(self, message: EngineDelta, now_s: float) -> bool:
-        """Take a change; False where it is outdated or one before it was missed."""
+    def _apply_delta(self, message: EngineDelta, now_s: float) -> bool:
+        """Apply a delta; return False if it is outdated or one before it was missed."""
         fleet = self._hub.cluster.fleet
         endpoint = fleet.endpoints.get(message.endpoint)
         before = endpoint and (endpoint.places_free, endpoint.wants)
         if not fleet.apply_update(message, now_s):
             return False
-        # Calls that wait for an adapter are placed anew only where that may help:
-        # loads are told some fifty times a second, and sixty calls that were placed
-        # with each telling kept a daemon from renewing its lease.
-        room = message.places_free, message.wants
-        if message.added or message.removed or room != before:
+        # Calls that wait for an adapter are placed again only if that may help. Loads
+        # are updated about fifty times a second, and placing sixty calls again at each
+        # update kept a daemon from renewing its lease.
+        capacity = message.places_free, message.wants
+        if message.added or message.removed or capacity != before:
             self._hub.engines_changed.tell()
         return True
 
-    async def _take_of_calls(
+    async def _handle_call_message(
         self, daemon: str, message: PlainMessage | PermitMessage
     ) -> None:
         if is_plain_message(message):
@@ -233,46 +239,53 @@
         elif isinstance(message, PermitMessage):
             await self.permits.handle(daemon, message)
 
-    async def _take_relayed(self, relay: str, message: StoreUpdate) -> None:
-        """Take what a relay hands on of the engines."""
+    async def _apply_relayed(self, relay: str, message: StoreUpdate) -> None:
+        """Apply the updates of engines that a relay forwarded."""
         missed = False
         now_s = anyio.current_time()
         for row in unpack_engines(message):
             if isinstance(row, EngineSnapshot):
-                self._take_told(row, now_s)
-            elif not self._take_change(row, now_s):
+                self._apply_snapshot(row, now_s)
+            elif not self._apply_delta(row, now_s):
                 missed = missed or self._hub.cluster.fleet.has_gap_before(row)
         if missed:
             await self.subscribe(relay)
 
     async def subscribe(self, relay: str) -> None:
-        """Ask a relay for all that it knows, and to be told from then on."""
-        await self._ask_relay(relay, RelayRequest())
+        """Request a snapshot from a relay, and subscribe to its updates."""
+        await self._request_from_relay(relay, RelayRequest())
 
-    async def _ask_relay(self, relay: str, message: RelayRequest) -> None:
-        # Each relay by itself: one that keeps too little to catch up with it, asked
-        # again and again, kept a daemon from asking the other one, which had it all.
+    async def _request_from_relay(self, relay: str, message: RelayRequest) -> None:
+        # The interval applies to each relay separately: repeated requests to a relay
+        # that retained too few updates kept a daemon from asking the other relay, which
+        # had all of them.
         now_s = anyio.current_time()
-        recent = self._relays_asked_s.items()
-        self._relays_asked_s = {
-            each: asked_s for each, asked_s in recent if now_s - asked_s <= ASK_RELAY_S
+        recent = self._relay_requests_s.items()
+        self._relay_requests_s = {
+            each: sent_s
+            for each, sent_s in recent
+            if now_s - sent_s <= RELAY_REQUEST_INTERVAL_S
         }
-        if relay not in self._relays_asked_s:
-            self._relays_asked_s[relay] = now_s
+        if relay not in self._relay_requests_s:
+            self._relay_requests_s[relay] = now_s
             await self.send(relay, message)
 
     async def request_load(self, endpoint: Endpoint) -> None:
-        """Ask an engine's owner how much runs there, where that is not known."""
+        """Request the load of an engine from its owner."""
         if endpoint.owner:
-            await self._ask(endpoint, endpoint.owner, ASK_LOAD_S)
+            await self._request_snapshot(
+                endpoint, endpoint.owner, LOAD_REQUEST_INTERVAL_S
+            )
 
-    async def _ask(self, endpoint: Endpoint, owner: str, pause_s: float) -> None:
+    async def _request_snapshot(
+        self, endpoint: Endpoint, owner: str, pause_s: float
+    ) -> None:
         now_s = anyio.current_time()
         if now_s - endpoint.asked_all_s > pause_s:
             endpoint.asked_all_s = now_s
             await self.send(owner, EngineSnapshotRequest(endpoint.name))
 
-    async def _take_answered(self, daemon: str, message: OwnerAck) -> None:
+    async def _handle_owner_ack(self, daemon: str, message: OwnerAck) -> None:
         endpoint = self._hub.cluster.fleet.endpoints.get(message.endpoint)
         if endpoint is not None:
             endpoint.asked_s = None
--- a/packages/daemon/src/knapweedbridge_daemon/serving/permits.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/permits.py
@@ -1,4 +1,7 @@
-"""Asks for permits to send calls to limited and brittle endpoints, and gives them."""
+"""Permits to send calls to rate-limited and brittle endpoints.
+
+For each endpoint one daemon, its coordinator, issues the permits of all daemons.
+"""
 
 import itertools
 from dataclasses import dataclass, field
@@ -29,11 +32,11 @@
 from knapweedbridge_daemon.serving.hub import Hub, Send, suspended_clock_s
 from knapweedbridge_daemon.serving.update_relay import UpdateRelay
 
-ANSWER_S = 0.05
-"""How long a keeper's answer is awaited: ways take milliseconds."""
+RESPONSE_TIMEOUT_S = 0.05
+"""Timeout for the response of a coordinator; a message takes milliseconds."""
 
-SILENT_S = 0.2
-"""How long an endpoint is left alone whose keeper gave no answer."""
+NO_RESPONSE_PAUSE_S = 0.2
+"""How long an endpoint gets no calls after its coordinator did not respond."""
 
 PermitMessage = (
     LimitReport
@@ -46,24 +49,24 @@
 
 
 @dataclass(slots=True, eq=False)
-class Question:
-    """A permit that was asked for."""
+class PendingRequest:
+    """A request for a permit that awaits its response."""
 
-    answered: anyio.Event = field(default_factory=anyio.Event)
-    wait_s: float = SILENT_S
+    done: anyio.Event = field(default_factory=anyio.Event)
+    wait_s: float = NO_RESPONSE_PAUSE_S
 
 
 class Permits:
-    """The permits of limited endpoints, as far as this daemon has to do with them.
+    """Requests permits from coordinators, and issues them as a coordinator.
 
     Parameters
     ----------
     hub : Hub
-        Beliefs, which say who keeps what.
+        The state of the cluster, which determines the coordinators.
     send : callable
-        Sends a message to a daemon, this one too.
-    relaying : Relaying
-        Knows whom a relay hands news on to.
+        Sends a message to a daemon, which may be this one.
+    relaying : UpdateRelay
+        Knows the subscribers to which this daemon forwards limits as a relay.
     """
 
     def __init__(self, hub: Hub, send: Send, relaying: UpdateRelay) -> None:
@@ -71,72 +74,78 @@
         self._send = send
         self._relaying = relaying
         self._tickets = itertools.count(1)
-        self._questions: dict[int, Question] = {}
+        self._pending: dict[int, PendingRequest] = {}
         self._buckets: dict[str, PermitBucket] = {}
-        self._rooms: dict[str, RejectionBudget] = {}
+        self._rejections: dict[str, RejectionBudget] = {}
 
     async def take(self, endpoint: Endpoint, is_order: bool = False) -> bool:
-        """Tell whether a call may be sent to an endpoint now, and count it as sent.
+        """Return whether a call may be sent to an endpoint now, and count it as sent.
 
-        Where it may not, the endpoint is closed to calls for a while: it rests, or its
-        keeper gave no permit.
+        If it may not, the endpoint is closed to calls for a while: it asked for a
+        pause, or its coordinator refused a permit.
 
         Parameters
         ----------
         is_order : bool
-            Whether it is an order, for which no room is needed.
+            Whether it is an order, which needs no rejection capacity.
         """
         pressure, now_s = endpoint.pressure, anyio.current_time()
         if pressure.closed_until_s > now_s:
             return False
-        if pressure.is_brittle and not is_order and not await self._has_room(endpoint):
+        if (
+            pressure.is_brittle
+            and not is_order
+            and not await self._has_rejection_capacity(endpoint)
+        ):
             return False
         if not pressure.is_limited:
             return True
         ticket = next(self._tickets)
-        asked = PermitRequest(*self._limit_of(endpoint), ticket)
-        return await self._is_permitted(endpoint, ticket, asked)
+        request = PermitRequest(*self._limit_fields(endpoint), ticket)
+        return await self._is_permitted(endpoint, ticket, request)
 
-    async def _has_room(self, endpoint: Endpoint) -> bool:
-        """Return whether a brittle endpoint bears it if it turns a call away."""
+    async def _has_rejection_capacity(self, endpoint: Endpoint) -> bool:
+        """Return whether a brittle endpoint can bear to reject one more call."""
         per_s = endpoint.pressure.brittle_per_s
         assert per_s is not None
         ticket = next(self._tickets)
-        asked = CapacityRequest(
+        request = CapacityRequest(
             endpoint.name, endpoint.record.started_ms, per_s, ticket
         )
-        keeper = self._coordinator(endpoint)
-        if keeper and not understands(self._hub.cluster.protocol_of(keeper), asked):
+        coordinator = self._coordinator(endpoint)
+        if coordinator and not understands(
+            self._hub.cluster.protocol_of(coordinator), request
+        ):
             return True
-        return await self._is_permitted(endpoint, ticket, asked)
+        return await self._is_permitted(endpoint, ticket, request)
 
     async def _is_permitted(
-        self, endpoint: Endpoint, ticket: int, asked: PermitRequest | CapacityRequest
+        self, endpoint: Endpoint, ticket: int, request: PermitRequest | CapacityRequest
     ) -> bool:
-        wait_s = await self._ask(endpoint, ticket, asked)
+        wait_s = await self._request(endpoint, ticket, request)
         self._hub.metrics.count("permits", "refused" if wait_s else "taken")
         if wait_s:
             until_s = anyio.current_time() + wait_s
             endpoint.pressure.record_no_permit(until_s)
         return not wait_s
 
-    async def _ask(
-        self, endpoint: Endpoint, ticket: int, asked: PermitRequest | CapacityRequest
+    async def _request(
+        self, endpoint: Endpoint, ticket: int, request: PermitRequest | CapacityRequest
     ) -> float:
-        """Ask for a permit; return 0.0 where it is given, else when to ask again."""
-        keeper = self._coordinator(endpoint)
-        if keeper is None:
-            return SILENT_S
-        question = self._questions[ticket] = Question()
+        """Request a permit; return 0.0 if issued, else the seconds until a retry."""
+        coordinator = self._coordinator(endpoint)
+        if coordinator is None:
+            return NO_RESPONSE_PAUSE_S
+        pending = self._pending[ticket] = PendingRequest()
         try:
-            await self._send(keeper, asked)
-            with anyio.move_on_after(ANSWER_S):
-                await question.answered.wait()
+            await self._send(coordinator, request)
+            with anyio.move_on_after(RESPONSE_TIMEOUT_S):
+                await pending.done.wait()
         finally:
-            del self._questions[ticket]
-        if not question.answered.is_set():
+            del self._pending[ticket]
+        if not pending.done.is_set():
             self._hub.metrics.count("permits", "unanswered")
-        return question.wait_s
+        return pending.wait_s
 
     def _coordinator(self, endpoint: Endpoint) -> str | None:
         candidates = self._hub.cluster.quota_coordinators
@@ -145,48 +154,50 @@
         )
 
     @staticmethod
-    def _limit_of(endpoint: Endpoint) -> tuple[str, int, float | None, float]:
-        """Return the fields of a message that tells an endpoint's limit."""
+    def _limit_fields(endpoint: Endpoint) -> tuple[str, int, float | None, float]:
+        """Return the fields of a message that carries an endpoint's limit."""
         pressure = endpoint.pressure
         age_s = anyio.current_time() - pressure.limit_heard_s
         return endpoint.name, endpoint.record.started_ms, pressure.limit_per_s, age_s
 
     async def turned_away(self, endpoint: Endpoint) -> None:
-        """Notify a brittle endpoint's keeper that it had no room for a call."""
-        keeper = self._coordinator(endpoint)
-        if keeper is not None:
+        """Report to the coordinator of a brittle endpoint that it rejected a call."""
+        coordinator = self._coordinator(endpoint)
+        if coordinator is not None:
             message = CallRejected(endpoint.name, endpoint.record.started_ms)
-            await self._send(keeper, message)
+            await self._send(coordinator, message)
 
     async def report_limit(self, endpoint: Endpoint) -> None:
-        """Tell an endpoint's keeper of the limit that an answer has just named."""
-        keeper = self._coordinator(endpoint)
-        if keeper is not None:
-            await self._send(keeper, LimitReport(*self._limit_of(endpoint)))
+        """Report to an endpoint's coordinator the limit named in a response."""
+        coordinator = self._coordinator(endpoint)
+        if coordinator is not None:
+            await self._send(coordinator, LimitReport(*self._limit_fields(endpoint)))
 
     async def handle(self, daemon: str, message: PermitMessage) -> None:
-        """Take a daemon's question or news, or a keeper's."""
+        """Handle a message about permits from a daemon or a coordinator."""
         if isinstance(message, PermitResponse):
-            self._take_answer(message)
+            self._record_response(message)
             return
         endpoint = self._endpoint_of(message)
         if endpoint is None:
             return
         if isinstance(message, LimitUpdate):
-            self._take_limit(endpoint, message)
-            await self._hand_on(message)
+            self._apply_limit(endpoint, message)
+            await self._forward(message)
         elif self._coordinator(endpoint) == self._hub.identity.name:
-            await self._take_as_keeper(daemon, endpoint, message)
+            await self._handle_as_coordinator(daemon, endpoint, message)
         elif isinstance(message, PermitRequest | CapacityRequest):
-            # The asker will have heard of the new keeper by then.
-            answer = PermitResponse(endpoint.name, message.ticket, SILENT_S)
-            await self._send(daemon, answer)
+            # The requester will know the new coordinator by then.
+            response = PermitResponse(
+                endpoint.name, message.ticket, NO_RESPONSE_PAUSE_S
+            )
+            await self._send(daemon, response)
 
-    def _take_answer(self, message: PermitResponse) -> None:
-        question = self._questions.get(message.ticket)
-        if question is not None:
-            question.wait_s = message.wait_s
-            question.answered.set()
+    def _record_response(self, message: PermitResponse) -> None:
+        pending = self._pending.get(message.ticket)
+        if pending is not None:
+            pending.wait_s = message.wait_s
+            pending.done.set()
 
     def _endpoint_of(
         self,
@@ -200,10 +211,10 @@
         start = EndpointStart(message.endpoint, message.started_ms)
         return endpoint if endpoint and endpoint.start.may_be(start) else None
 
-    def _take_limit(self, endpoint: Endpoint, message: LimitUpdate) -> None:
+    def _apply_limit(self, endpoint: Endpoint, message: LimitUpdate) -> None:
         before_per_s = endpoint.pressure.limit_per_s
-        heard_s = anyio.current_time() - message.age_s
-        if endpoint.pressure.update_limit(message.limit_per_s, heard_s):
+        received_s = anyio.current_time() - message.age_s
+        if endpoint.pressure.update_limit(message.limit_per_s, received_s):
             self._hub.log.info(
                 "endpoint.limited",
                 endpoint=endpoint.name,
@@ -213,86 +224,86 @@
             )
             self._hub.engines_changed.tell()
 
-    async def _hand_on(self, message: LimitUpdate) -> None:
+    async def _forward(self, message: LimitUpdate) -> None:
         for name in self._relaying.list_subscribers():
             await self._send(name, message)
 
-    async def _take_as_keeper(
+    async def _handle_as_coordinator(
         self,
         daemon: str,
         endpoint: Endpoint,
         message: LimitReport | PermitRequest | CapacityRequest | CallRejected,
     ) -> None:
         if isinstance(message, CallRejected):
-            self._room(endpoint).turned_away(anyio.current_time())
+            self._rejection_budget(endpoint).turned_away(anyio.current_time())
         elif isinstance(message, CapacityRequest):
-            await self._answer_room(daemon, endpoint, message)
+            await self._handle_capacity_request(daemon, endpoint, message)
         else:
-            await self._take_limit_as_keeper(daemon, endpoint, message)
+            await self._handle_limit(daemon, endpoint, message)
 
-    async def _answer_room(
+    async def _handle_capacity_request(
         self, daemon: str, endpoint: Endpoint, message: CapacityRequest
     ) -> None:
-        room, now_s = self._room(endpoint), anyio.current_time()
-        wait_s = room.take(message.turned_away_per_s, now_s)
+        budget, now_s = self._rejection_budget(endpoint), anyio.current_time()
+        wait_s = budget.take(message.turned_away_per_s, now_s)
         self._hub.metrics.count("permits", "not_given" if wait_s else "given")
-        answer = PermitResponse(endpoint.name, message.ticket, wait_s)
-        await self._send(daemon, answer)
+        response = PermitResponse(endpoint.name, message.ticket, wait_s)
+        await self._send(daemon, response)
 
-    def _room(self, endpoint: Endpoint) -> RejectionBudget:
-        room = self._rooms.get(endpoint.name)
-        if room is None:
+    def _rejection_budget(self, endpoint: Endpoint) -> RejectionBudget:
+        budget = self._rejections.get(endpoint.name)
+        if budget is None:
             self._forget_others()
-            room = self._rooms[endpoint.name] = RejectionBudget()
-        return room
+            budget = self._rejections[endpoint.name] = RejectionBudget()
+        return budget
 
-    async def _take_limit_as_keeper(
+    async def _handle_limit(
         self, daemon: str, endpoint: Endpoint, message: LimitReport | PermitRequest
     ) -> None:
         now_s = anyio.current_time()
-        pacer = self._pacer(endpoint, now_s)
-        heard_s = now_s - message.age_s
-        if pacer.update_limit(message.limit_per_s, heard_s, now_s):
-            await self._tell_all(endpoint, pacer, now_s)
+        bucket = self._bucket(endpoint, now_s)
+        received_s = now_s - message.age_s
+        if bucket.update_limit(message.limit_per_s, received_s, now_s):
+            await self._broadcast_limit(endpoint, bucket, now_s)
         if isinstance(message, PermitRequest):
             leased = self._hub.lease.may_order(suspended_clock_s())
-            wait_s = pacer.take(now_s, 1.0 if leased else UNLEASED_SHARE)
+            wait_s = bucket.take(now_s, 1.0 if leased else UNLEASED_SHARE)
             self._hub.metrics.count("permits", "not_given" if wait_s else "given")
-            answer = PermitResponse(endpoint.name, message.ticket, wait_s)
-            await self._send(daemon, answer)
+            response = PermitResponse(endpoint.name, message.ticket, wait_s)
+            await self._send(daemon, response)
 
-    def _pacer(self, endpoint: Endpoint, now_s: float) -> PermitBucket:
-        pacer = self._buckets.get(endpoint.name)
-        if pacer is None:
+    def _bucket(self, endpoint: Endpoint, now_s: float) -> PermitBucket:
+        bucket = self._buckets.get(endpoint.name)
+        if bucket is None:
             self._forget_others()
-            # Whoever kept the endpoint before may give permits for a moment yet.
-            pacer = self._buckets[endpoint.name] = PermitBucket(now_s + TAKE_OVER_S)
-        return pacer
+            # The previous coordinator may issue permits for a moment longer.
+            bucket = self._buckets[endpoint.name] = PermitBucket(now_s + TAKE_OVER_S)
+        return bucket
 
     def _forget_others(self) -> None:
-        """Drop the pacers of endpoints that are gone or have another keeper."""
+        """Drop the state of endpoints that are gone or have another coordinator."""
         fleet = self._hub.cluster.fleet
-        for name in {*self._buckets, *self._rooms}:
+        for name in {*self._buckets, *self._rejections}:
             endpoint = fleet.endpoints.get(name)
             if (
                 endpoint is None
                 or self._coordinator(endpoint) != self._hub.identity.name
             ):
                 self._buckets.pop(name, None)
-                self._rooms.pop(name, None)
+                self._rejections.pop(name, None)
 
-    async def _tell_all(
-        self, endpoint: Endpoint, pacer: PermitBucket, now_s: float
+    async def _broadcast_limit(
+        self, endpoint: Endpoint, bucket: PermitBucket, now_s: float
     ) -> None:
-        """Tell all daemons of a limit, through the relays in a large pool."""
+        """Send a limit to all daemons, through the relays in a large pool."""
         cluster = self._hub.cluster
-        told = LimitUpdate(
+        update = LimitUpdate(
             endpoint.name,
             endpoint.record.started_ms,
-            pacer.limit_per_s,
-            pacer.heard_age_s(now_s),
+            bucket.limit_per_s,
+            bucket.heard_age_s(now_s),
         )
         small = cluster.is_small_pool
         names = cluster.daemons if small else chain(*cluster.relays.values())
         for name in {*names, self._hub.identity.name}:
-            await self._send(name, told)
+            await self._send(name, update)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/plain_load_client.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/plain_load_client.py
@@ -1,4 +1,4 @@
-"""Asks the daemons that count what runs at plain endpoints."""
+"""Requests the load of plain endpoints from the daemons that count it."""
 
 import itertools
 from collections.abc import Mapping
@@ -19,40 +19,40 @@
     PlainMessage,
 )
 
-SILENT_S = 1.0
-"""How long a counting daemon that gave no answer is not asked: in that time one that
-is gone is not listed any more, and another one counts."""
+NO_RESPONSE_PAUSE_S = 1.0
+"""How long a coordinator that did not respond gets no requests. Within that time a
+daemon that is gone is removed from the list, and another becomes the coordinator."""
 
-KNOWN_LIFE_S = 10.0
-"""Age past which what was told of an endpoint is asked for again."""
+STATE_MAX_AGE_S = 10.0
+"""Age above which a known state of an endpoint is discarded."""
 
 
 @dataclass(slots=True, eq=False)
-class Question:
-    """The questions that one request waits for, by ticket, and their answers."""
+class LoadQuery:
+    """The load requests that one plain request awaits, by ticket, and the responses."""
 
-    asked: dict[int, tuple[Endpoint, str]] = field(default_factory=dict)
-    found: dict[str, PlainState] = field(default_factory=dict)
-    answered: anyio.Event = field(default_factory=anyio.Event)
+    pending: dict[int, tuple[Endpoint, str]] = field(default_factory=dict)
+    states: dict[str, PlainState] = field(default_factory=dict)
+    done: anyio.Event = field(default_factory=anyio.Event)
 
 
 @dataclass(slots=True, frozen=True)
-class Known:
-    """What was told of an endpoint, and when."""
+class KnownState:
+    """The last known state of an endpoint, and when it was received."""
 
-    heard_s: float
+    received_s: float
     state: PlainState
 
 
 class PlainLoadClient:
-    """Questions to the daemons that count, and what they answered.
+    """Sends load requests to coordinators, and caches their responses.
 
     Parameters
     ----------
     hub : Hub
-        Beliefs, which say who counts for which endpoint.
+        The state of the cluster, which determines the coordinators.
     send : callable
-        Sends a message to a daemon, this one too.
+        Sends a message to a daemon, which may be this one.
     calls : mapping of EndpointStart to int
         Requests of this daemon at each endpoint.
     """
@@ -64,100 +64,102 @@
         self._send = send
         self._calls = calls
         self._tickets = itertools.count(NO_TICKET + 1)
-        self._questions: dict[int, Question] = {}
-        self._known: dict[str, Known] = {}
-        self._understanding: dict[str, int] = {}
-        self._asked_not_before_s: dict[str, float] = {}
+        self._queries: dict[int, LoadQuery] = {}
+        self._known: dict[str, KnownState] = {}
+        self._counting_incarnations: dict[str, int] = {}
+        self._paused_until_s: dict[str, float] = {}
 
-    def understands(self, daemon: str) -> bool:
-        """Tell whether a daemon is known to be of a version that counts."""
+    def is_counting(self, daemon: str) -> bool:
+        """Return whether a daemon is known to have a version that counts requests."""
         record = self._hub.cluster.daemons.get(daemon)
-        known = self._understanding.get(daemon)
+        known = self._counting_incarnations.get(daemon)
         return record is not None and known == record.incarnation
 
     def known(self) -> dict[str, PlainState]:
-        """Return what was told of endpoints lately, by endpoint."""
-        oldest_s = anyio.current_time() - KNOWN_LIFE_S
+        """Return the recently received states, by endpoint."""
+        oldest_s = anyio.current_time() - STATE_MAX_AGE_S
         for name, each in list(self._known.items()):
-            if each.heard_s < oldest_s:
+            if each.received_s < oldest_s:
                 del self._known[name]
         return {name: each.state for name, each in self._known.items()}
 
-    async def ask(
+    async def request_states(
         self, endpoints: list[Endpoint], until_s: float
     ) -> dict[str, PlainState]:
-        """Ask what runs at some endpoints; return what was answered until a moment."""
-        question = Question()
+        """Request the states of endpoints; return those received until a moment."""
+        query = LoadQuery()
         for endpoint in endpoints:
-            keeper = load_coordinator(self._hub, endpoint)
-            if keeper is not None and await self._may_ask(keeper):
+            coordinator = load_coordinator(self._hub, endpoint)
+            if coordinator is not None and await self._may_request(coordinator):
                 ticket = next(self._tickets)
-                question.asked[ticket] = endpoint, keeper
-                self._questions[ticket] = question
+                query.pending[ticket] = endpoint, coordinator
+                self._queries[ticket] = query
         try:
-            await self._await(question, until_s)
+            await self._request_and_wait(query, until_s)
         finally:
-            for ticket in question.asked:
-                self._questions.pop(ticket, None)
-        return question.found
+            for ticket in query.pending:
+                self._queries.pop(ticket, None)
+        return query.states
 
-    async def _await(self, question: Question, until_s: float) -> None:
-        for ticket, (endpoint, keeper) in list(question.asked.items()):
+    async def _request_and_wait(self, query: LoadQuery, until_s: float) -> None:
+        for ticket, (endpoint, coordinator) in list(query.pending.items()):
             start = endpoint.start
             calls = self._calls.get(start, 0)
-            asked = PlainLoadRequest(endpoint.name, start.started_ms, ticket, calls)
-            await self._send(keeper, asked)
-        if question.asked:
+            request = PlainLoadRequest(endpoint.name, start.started_ms, ticket, calls)
+            await self._send(coordinator, request)
+        if query.pending:
             with anyio.move_on_at(until_s):
-                await question.answered.wait()
-        for endpoint, keeper in question.asked.values():
-            self._note_silent(endpoint, keeper)
+                await query.done.wait()
+        for endpoint, coordinator in query.pending.values():
+            self._record_no_response(endpoint, coordinator)
 
-    def _note_silent(self, endpoint: Endpoint, keeper: str) -> None:
+    def _record_no_response(self, endpoint: Endpoint, coordinator: str) -> None:
         now_s = anyio.current_time()
-        self._asked_not_before_s[keeper] = now_s + SILENT_S
+        self._paused_until_s[coordinator] = now_s + NO_RESPONSE_PAUSE_S
         self._hub.metrics.count("plain_questions", "unanswered")
-        self._hub.log.info("plain.unanswered", endpoint=endpoint.name, daemon=keeper)
+        self._hub.log.info(
+            "plain.unanswered", endpoint=endpoint.name, daemon=coordinator
+        )
 
-    async def _may_ask(self, keeper: str) -> bool:
+    async def _may_request(self, coordinator: str) -> bool:
         now_s = anyio.current_time()
-        if self._asked_not_before_s.get(keeper, now_s) > now_s:
+        if self._paused_until_s.get(coordinator, now_s) > now_s:
             return False
-        if self.understands(keeper):
+        if self.is_counting(coordinator):
             return True
-        self._asked_not_before_s[keeper] = now_s + SILENT_S
-        await self._send(keeper, VERSION_PROBE)
-        # One that is this daemon has answered by now.
-        return self.understands(keeper)
+        self._paused_until_s[coordinator] = now_s + NO_RESPONSE_PAUSE_S
+        await self._send(coordinator, VERSION_PROBE)
+        # If it is this daemon, it has responded already.
+        return self.is_counting(coordinator)
 
-    def take(self, daemon: str, message: PlainMessage) -> bool:
-        """Take an answer; False where a message is none."""
+    def handle_response(self, daemon: str, message: PlainMessage) -> bool:
+        """Handle a response; return False if the message is none."""
         if not isinstance(message, PlainLoadResponse):
             return False
         record = self._hub.cluster.daemons.get(daemon)
         if message.ticket == NO_TICKET:
             if record is not None:
-                self._forget_missing()
-                self._understanding[daemon] = record.incarnation
-                self._asked_not_before_s.pop(daemon, None)
+                self._remove_missing()
+                self._counting_incarnations[daemon] = record.incarnation
+                self._paused_until_s.pop(daemon, None)
             return True
-        question = self._questions.pop(message.ticket, None)
-        if question is not None:
-            self._take_answer(question, message)
+        query = self._queries.pop(message.ticket, None)
+        if query is not None:
+            self._record_response(query, message)
         return True
 
-    def _forget_missing(self) -> None:
-        for known in (self._understanding, self._asked_not_before_s):
+    def _remove_missing(self) -> None:
+        for known in (self._counting_incarnations, self._paused_until_s):
             for name in known.keys() - self._hub.cluster.daemons.keys():
                 del known[name]
 
-    def _take_answer(self, question: Question, message: PlainLoadResponse) -> None:
-        endpoint, _ = question.asked.pop(message.ticket)
+    def _record_response(self, query: LoadQuery, message: PlainLoadResponse) -> None:
+        endpoint, _ = query.pending.pop(message.ticket)
         calls = self._calls.get(endpoint.start, 0)
         running = message.others_calls + calls
         state = PlainState(running, message.work_s, message.typical_s)
-        question.found[endpoint.name] = state
-        self._known[endpoint.name] = Known(anyio.current_time(), state)
+        query.states[endpoint.name] = state
+        self._known[endpoint.name] = KnownState(anyio.current_time(), state)
         self._hub.metrics.count("plain_questions", "answered")
-        if not question.asked:
-            question.answered.set()
+        if not query.pending:
+            query.done.set()
--- a/packages/daemon/src/knapweedbridge_daemon/serving/plain_load_server.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/plain_load_server.py
@@ -1,4 +1,4 @@
-"""Counts the requests at those plain endpoints that fall to this daemon."""
+"""Counts the requests at the plain endpoints that this daemon coordinates."""
 
 import anyio
 
@@ -16,26 +16,26 @@
 from knapweedbridge_daemon.serving.hub import Hub, Send
 from knapweedbridge_daemon.serving.plain_version_probe import (
     VERSION_PROBE,
-    VERSION_PROBE_ANSWER,
+    VERSION_PROBE_RESPONSE,
     PlainMessage,
 )
 
 
 def load_coordinator(hub: Hub, endpoint: Endpoint) -> str | None:
-    """Name the daemon that counts an endpoint's requests; None where none is known."""
+    """Return the daemon that counts an endpoint's requests; None if none is known."""
     candidates = hub.cluster.quota_coordinators
     return permit_coordinator(endpoint.name, endpoint.record.data_centre, candidates)
 
 
 class PlainLoadServer:
-    """The counters of a few endpoints, and answers by them.
+    """Counts the requests at endpoints, and responds to load requests.
 
     Parameters
     ----------
     hub : Hub
-        Beliefs, which say what is counted here.
+        The state of the cluster, which determines the coordinators.
     send : callable
-        Sends a message to a daemon, this one too.
+        Sends a message to a daemon, which may be this one.
     """
 
     def __init__(self, hub: Hub, send: Send) -> None:
@@ -44,26 +44,26 @@
         self._counters: dict[EndpointStart, PlainCounter] = {}
 
     async def handle(self, daemon: str, message: PlainMessage) -> None:
-        """Take a daemon's greeting, question or word of what it runs."""
+        """Handle a version probe, a load request or a load report of a daemon."""
         if message == VERSION_PROBE:
-            await self._send(daemon, VERSION_PROBE_ANSWER)
+            await self._send(daemon, VERSION_PROBE_RESPONSE)
         elif isinstance(message, PlainLoadRequest | PlainLoadReport):
             endpoint = self._endpoint_of(message)
             if endpoint is not None:
-                await self._take(daemon, endpoint, message)
+                await self._handle_load(daemon, endpoint, message)
 
     def _endpoint_of(
         self, message: PlainLoadRequest | PlainLoadReport
     ) -> Endpoint | None:
-        """Return the endpoint of a message; None where another daemon counts there."""
+        """Return the endpoint of a message; None if another daemon coordinates it."""
         endpoint = self._hub.cluster.fleet.endpoints.get(message.endpoint)
         start = EndpointStart(message.endpoint, message.started_ms)
         if endpoint is None or not endpoint.start.may_be(start):
             return None
-        is_ours = load_coordinator(self._hub, endpoint) == self._hub.identity.name
-        return endpoint if is_ours else None
+        is_own = load_coordinator(self._hub, endpoint) == self._hub.identity.name
+        return endpoint if is_own else None
 
-    async def _take(
+    async def _handle_load(
         self,
         daemon: str,
         endpoint: Endpoint,
@@ -77,10 +77,10 @@
         counter.take(daemon, message.calls, now_s)
         state = counter.state(now_s, asker=daemon)
         self._hub.metrics.count("plain_questions", "given")
-        answer = PlainLoadResponse(
+        response = PlainLoadResponse(
             endpoint.name, message.ticket, state.running, state.work_s, state.typical_s
         )
-        await self._send(daemon, answer)
+        await self._send(daemon, response)
 
     def _counter(self, endpoint: Endpoint) -> PlainCounter:
         counter = self._counters.get(endpoint.start)
@@ -92,7 +92,7 @@
         return counter
 
     def _forget_others(self) -> None:
-        """Drop the counters of endpoints that are gone or fall to another daemon."""
+        """Drop the counters of endpoints that are gone or have another coordinator."""
         fleet, own_name = self._hub.cluster.fleet, self._hub.identity.name
         for start in list(self._counters):
             endpoint = fleet.endpoints.get(start.endpoint)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/plain_router.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/plain_router.py
@@ -1,8 +1,9 @@
-"""Chooses the endpoints of plain requests by what all daemons run there.
+"""Routes plain requests to endpoints by the load of all daemons.
 
-In a large pool one daemon of an endpoint's data centre counts what runs there. It is
-chosen as those are that give the permits of limited endpoints, and each daemon asks it
-before it sends a request, which counts from then on.
+In a large pool one daemon of an endpoint's data centre, its coordinator, counts the
+requests there. It is determined as for the permits of rate-limited endpoints. Each
+daemon sends it a load request before it sends a plain request, which counts from then
+on.
 """
 
 import random
@@ -29,39 +30,39 @@
 )
 from knapweedbridge_daemon.serving.plain_version_probe import PlainMessage
 
-ANSWER_S = 0.03
-"""How long a request waits in all for answers: they take 2 to 4 ms, and objectives of
-plain requests begin at 0.15 s."""
+LOAD_TIMEOUT_S = 0.03
+"""Total time that a plain request waits for load responses: they take 2 to 4 ms, and
+the lowest objectives of plain requests are 0.15 s."""
 
-MOST_ASKED = 4
-"""Endpoints that are asked about for one request: a question and its answer take 0.6 ms
-of processor time, and a request about 31 ms."""
+MAX_CANDIDATES = 4
+"""Most endpoints whose load is requested for one plain request: a load request and its
+response take 0.6 ms of processor time, and a plain request about 31 ms."""
 
 
 class PlainRouter:
-    """The requests at plain endpoints, as far as this daemon has to do with them.
+    """Chooses endpoints for plain requests, and reports this daemon's load there.
 
     Parameters
     ----------
     hub : Hub
-        Beliefs, which say who counts for which endpoint.
+        The state of the cluster, which determines the coordinators.
     send : callable
-        Sends a message to a daemon, this one too.
+        Sends a message to a daemon, which may be this one.
     """
 
     def __init__(self, hub: Hub, send: Send) -> None:
         self._hub = hub
         self._send = send
         self._calls: Counter[EndpointStart] = Counter()
-        self._asking = PlainLoadClient(hub, send, self._calls)
-        self._counters = PlainLoadServer(hub, send)
+        self._client = PlainLoadClient(hub, send, self._calls)
+        self._server = PlainLoadServer(hub, send)
 
     async def choose(
         self, ask: PlainAsk, endpoints: list[Endpoint], call_id: str = ""
     ) -> Endpoint | None:
         """Return the endpoint of a request, which counts there until `ended`.
 
-        Own counts are used in a small pool, and where nobody answers.
+        The counts of this daemon are used in a small pool and if nobody responds.
 
         Parameters
         ----------
@@ -77,10 +78,10 @@
             chosen = await self._choose(ask, first, endpoints, call_id)
         finally:
             if chosen is not first:
-                await self._leave(first)
+                await self._remove(first)
         if chosen is not first:
             self._calls[chosen.start] += 1
-            await self._tell(chosen)
+            await self._report(chosen)
         return chosen
 
     async def _choose(
@@ -91,49 +92,49 @@
         call_id: str,
     ) -> Endpoint:
         now_s = anyio.current_time()
-        until_s = now_s + ANSWER_S
-        found = await self._asking.ask([first], until_s)
+        until_s = now_s + LOAD_TIMEOUT_S
+        found = await self._client.request_states([first], until_s)
         if not found:
             self._hub.metrics.count("plain_choices", "own_counts")
             return first
-        found[first.name] = self._without_new(found[first.name])
-        states = {**self._asking.known(), **found}
+        found[first.name] = self._exclude_own_request(found[first.name])
+        states = {**self._client.known(), **found}
         if is_clearly_best(ask, first, endpoints, states, anyio.current_time()):
             self._hub.metrics.count("plain_choices", "first")
             return first
-        others = self._others(ask, first, endpoints)
-        found |= await self._asking.ask(others, until_s)
+        others = self._other_candidates(ask, first, endpoints)
+        found |= await self._client.request_states(others, until_s)
         now_s = anyio.current_time()
         chosen = choose_counted(ask, [first, *others], found, now_s) or first
         self._hub.metrics.count(
             "plain_choices", "first" if chosen is first else "another"
         )
         if chosen is not first:
-            self._note_moved(call_id, first, chosen, found)
+            self._log_rerouting(call_id, first, chosen, found)
         return chosen
 
     @staticmethod
-    def _without_new(state: PlainState) -> PlainState:
-        """Leave the request that is being placed out of an endpoint's count."""
+    def _exclude_own_request(state: PlainState) -> PlainState:
+        """Exclude the request that is being placed from an endpoint's count."""
         return PlainState(state.running - 1, state.work_s, state.typical_s)
 
     @staticmethod
-    def _others(
+    def _other_candidates(
         ask: PlainAsk, first: Endpoint, endpoints: list[Endpoint]
     ) -> list[Endpoint]:
-        """Return the endpoints that are asked about besides the first one."""
+        """Return the endpoints whose load is requested besides the first one."""
         others = [
             each
             for each in endpoints
             if each is not first and each.name not in ask.tried
         ]
-        # Not all of a large service. Always the same few of those that are alike would
-        # be full while the rest is idle.
+        # Only some endpoints of a large service are candidates. If those with equal
+        # counts were always in the same order, a few would be full and the others idle.
         random.shuffle(others)
         others.sort(key=lambda each: each.own_calls)
-        return others[: MOST_ASKED - 1]
+        return others[: MAX_CANDIDATES - 1]
 
-    def _note_moved(
+    def _log_rerouting(
         self,
         call_id: str,
         first: Endpoint,
@@ -152,34 +153,36 @@
         )
 
     async def ended(self, endpoint: Endpoint, end: AttemptEnd) -> None:
-        """Take that an attempt at a plain endpoint is over."""
+        """Record that an attempt at a plain endpoint has ended."""
         if self._calls[endpoint.start] <= 0:
-            # It began while the pool was small.
+            # The attempt began while the pool was small.
             del self._calls[endpoint.start]
             return
         answered = int(end is AttemptEnd.ANSWERED)
         refused = int(end is AttemptEnd.NOT_RUN)
-        await self._leave(endpoint, answered, refused)
+        await self._remove(endpoint, answered, refused)
 
-    async def _leave(
+    async def _remove(
         self, endpoint: Endpoint, ended: int = 0, refused: int = 0
     ) -> None:
         self._calls[endpoint.start] -= 1
-        await self._tell(endpoint, ended, refused)
+        await self._report(endpoint, ended, refused)
         if not self._calls[endpoint.start]:
             del self._calls[endpoint.start]
 
-    async def _tell(self, endpoint: Endpoint, ended: int = 0, refused: int = 0) -> None:
-        """Tell an endpoint's counting daemon of all requests of this daemon there."""
-        keeper = load_coordinator(self._hub, endpoint)
-        if keeper is None or not self._asking.understands(keeper):
+    async def _report(
+        self, endpoint: Endpoint, ended: int = 0, refused: int = 0
+    ) -> None:
+        """Report all requests of this daemon at an endpoint to its coordinator."""
+        coordinator = load_coordinator(self._hub, endpoint)
+        if coordinator is None or not self._client.is_counting(coordinator):
             return
         start, calls = endpoint.start, self._calls[endpoint.start]
-        told = PlainLoadReport(endpoint.name, start.started_ms, calls, ended, refused)
-        await self._send(keeper, told)
+        report = PlainLoadReport(endpoint.name, start.started_ms, calls, ended, refused)
+        await self._send(coordinator, report)
 
     async def handle(self, daemon: str, message: PlainMessage) -> None:
-        """Take a daemon's question or word, or an answer."""
-        if self._asking.take(daemon, message):
+        """Handle a message about plain requests."""
+        if self._client.handle_response(daemon, message):
             return
-        await self._counters.handle(daemon, message)
+        await self._server.handle(daemon, message)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/plain_version_probe.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/plain_version_probe.py
@@ -1,8 +1,8 @@
 """Tells daemons that count plain requests from those of an older version.
 
-A message of an unknown class ends the stream of a daemon that does not know it. So a
-daemon is greeted first, by a message that older ones take and ignore: the answer to a
-question for a permit that was never asked.
+A daemon closes a stream on which it receives a message of an unknown class. It is
+therefore probed first with a message that older versions know and ignore: the response
+to a request for a permit that it never sent.
 """
 
 from typing import TypeGuard
@@ -15,17 +15,17 @@
 )
 
 NO_TICKET = 0
-"""Questions for permits are numbered from 1."""
+"""Ticket of no request; those of requests for permits begin at 1."""
 
 VERSION_PROBE = PermitResponse("", NO_TICKET, 0.0)
 
-VERSION_PROBE_ANSWER = PlainLoadResponse("", NO_TICKET, 0, 0.0, 0.0)
-"""Answer to the greeting."""
+VERSION_PROBE_RESPONSE = PlainLoadResponse("", NO_TICKET, 0, 0.0, 0.0)
+"""Response to the probe."""
 
 PlainMessage = PlainLoadRequest | PlainLoadResponse | PlainLoadReport | PermitResponse
 
 
 def is_plain_message(message: object) -> TypeGuard[PlainMessage]:
-    """Tell whether a message is about plain requests, or a greeting."""
+    """Return whether a message is about plain requests, or is the version probe."""
     is_new = isinstance(message, PlainLoadRequest | PlainLoadResponse | PlainLoadReport)
     return is_new or message == VERSION_PROBE
--- a/packages/daemon/src/knapweedbridge_daemon/serving/quota_parts.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/quota_parts.py
@@ -1,4 +1,8 @@
-"""Which daemons keep the parts of accounts' quotas, and what those kept here give."""
+"""Assigns the parts of accounts' quotas to daemons, and grants units of own parts.
+
+An account's quota is split into equal parts; the coordinator of a part grants its units
+to the other daemons.
+"""
 
 from dataclasses import dataclass
 
@@ -20,14 +24,15 @@
 
 @dataclass(slots=True, frozen=True)
 class SplitQuota:
-    """An account's quota, as it is split now.
+    """The current split of an account's quota.
 
     Parameters
     ----------
     part : QuotaPart
         One of its equal parts.
     coordinators : list of str
-        Who keeps the parts, the one that this daemon asks first first.
+        The daemons that grant units of the parts, in the order in which this daemon
+        sends them requests.
     """
 
     part: QuotaPart
@@ -35,12 +40,12 @@
 
 
 class QuotaParts:
-    """The parts of accounts' quotas, those that this daemon keeps among them.
+    """The parts of accounts' quotas, and the buckets of those that this daemon grants.
 
     Parameters
     ----------
     hub : Hub
-        Beliefs, which say who keeps what.
+        The state of the cluster, which determines the coordinators.
     """
 
     def __init__(self, hub: Hub) -> None:
@@ -50,7 +55,7 @@
         self._buckets: dict[str, QuotaBucket] = {}
 
     def refresh(self) -> None:
-        """Begin to keep the parts that have fallen to this daemon, and end others."""
+        """Add buckets for the parts assigned to this daemon, and drop the others."""
         cluster = self._hub.cluster
         seen = cluster.ranks, cluster.deployment
         if seen[0] is self._seen[0] and seen[1] is self._seen[1]:
@@ -63,18 +68,18 @@
             for each in accounts or ()
             if each.quota
         }
-        kept = [
+        owned = [
             account
             for account, found in self._splits.items()
             if self._hub.identity.name in found.coordinators
         ]
         now_s = anyio.current_time()
-        for account in kept:
-            # Nobody kept a part of an account that is new before.
+        for account in owned:
+            # The parts of a new account had no previous coordinator.
             is_new = had_deployment and account not in before
             empty_s = now_s if is_new else now_s + TAKE_OVER_S
             self._buckets.setdefault(account, QuotaBucket(empty_s))
-        for account in self._buckets.keys() - set(kept):
+        for account in self._buckets.keys() - set(owned):
             del self._buckets[account]
 
     def _split(self, account: str, quota: Quota) -> SplitQuota:
@@ -82,22 +87,24 @@
         candidates = cluster.quota_coordinators
         part = split(quota, self._hub.tolerance, sum(map(len, candidates.values())))
         found = coordinators(account, part.parts, candidates)
-        places = {name: cluster.daemons[name].data_centre for name in found}
-        ordered = nearest_first(identity.name, identity.data_centre, found, places)
+        data_centres = {name: cluster.daemons[name].data_centre for name in found}
+        ordered = nearest_first(
+            identity.name, identity.data_centre, found, data_centres
+        )
         return SplitQuota(part, ordered)
 
     def coordinators(self, account: str) -> list[str]:
-        """Name the keepers of an account's quota, the one to ask first first."""
+        """Return the coordinators of an account's quota, in the order of requests."""
         self.refresh()
         found = self._splits.get(account)
         return found.coordinators if found else []
 
-    def give(self, message: QuotaRequest) -> QuotaGrant:
-        """Give units of the part that is kept here, if one is."""
+    def grant(self, message: QuotaRequest) -> QuotaGrant:
+        """Grant units of the part assigned to this daemon, if there is one."""
         self.refresh()
         found = self._splits.get(message.account)
         bucket = self._buckets.get(message.account)
-        # After its lease a keeper may have a successor, which gives the same part.
+        # After its lease a coordinator may have a successor that grants the same part.
         is_listed = self._hub.lease.may_order(suspended_clock_s())
         if found is None or bucket is None or not is_listed:
             return QuotaGrant(0, LEAST_WAIT_S, is_known=False)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/tunnels.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/tunnels.py
@@ -1,4 +1,4 @@
-"""Connections to endpoints that other hosts carry for this one."""
+"""Connections to endpoints that other hosts forward for this one."""
 
 from contextlib import AsyncExitStack, closing
 
@@ -24,41 +24,43 @@
 from knapweedbridge_daemon.serving.http_client import Destination, NotSentError
 from knapweedbridge_daemon.serving.hub import Hub
 
-ASK_S = 0.5
-"""How long a forwarder's answer is awaited; it tries an endpoint for 0.3 s."""
+REQUEST_TIMEOUT_S = 0.5
+"""Timeout of a request to a forwarder, which tries to connect for 0.3 s."""
 
-ASK_ALL_S = 0.7
-"""How long forwarders are asked in all."""
+TOTAL_TIMEOUT_S = 0.7
+"""Timeout of the requests to all forwarders together."""
 
 STAGGER_S = 0.02
-"""Pause before the next forwarder is asked beside those that have not answered; one
-that has links answers in some milliseconds."""
+"""Delay before the next forwarder gets a request while others have not responded. One
+that has links responds within milliseconds."""
 
 MOST_ASKED = 8
-"""Forwarders that are asked for one connection."""
+"""Most forwarders that get a request for one connection."""
 
 UNREACHABLE_PROOF = 2
-"""Hosts with links that must fail to reach an endpoint for it to count as lost."""
+"""Number of hosts with links that must fail to reach an endpoint before it counts as
+lost."""
 
-OF_ONE_ENDPOINT = frozenset({"unreachable", "unsure", "cut", "unknown"})
-"""Refusals that say nothing of other endpoints."""
+ENDPOINT_REASONS = frozenset({"unreachable", "unsure", "cut", "unknown"})
+"""Reasons of refusals that concern one endpoint, not the forwarder."""
 
 CHUNK_BYTES = 65536
 
 END = msgpack.packb(None)
-"""Follows the last bytes of an endpoint that ended its connection in order. Without it
-the connection broke: a forwarder that is killed ends its own in order as well."""
+"""Follows the last bytes of an endpoint that closed its connection in order. A stream
+that ends without it is broken: a forwarder that is killed closes its stream in order as
+well."""
 
 
 class TunnelStream(ClientStream):
-    """A connection to an endpoint that another host carries.
+    """A connection to an endpoint that another host forwards.
 
     Parameters
     ----------
     stream : PeerSocket
-        The stream to that host, which this owns.
+        The stream to the forwarder. The tunnel closes it.
     forwarder : str
-        Its name.
+        The name of the forwarding host.
     """
 
     def __init__(self, stream: PeerSocket, forwarder: str) -> None:
@@ -77,23 +79,31 @@
         return int(self._stream.raw.fileno())
 
     async def ask(self, destination: Destination) -> TunnelOpened | TunnelRefused:
-        """Ask for a connection to an endpoint; raises PeerError or stream errors."""
-        asked = TunnelRequest(destination.endpoint, destination.address)
-        await self._stream.send(encode(asked))
+        """Request a connection to an endpoint.
+
+        Raises
+        ------
+        PeerError
+            If the response can't be read. Errors of the stream are raised as they are.
+        """
+        request = TunnelRequest(destination.endpoint, destination.address)
+        await self._stream.send(encode(request))
         try:
             while True:
                 for value in self._reader:
-                    return self._read_answer(value)
+                    return self._decode_response(value)
                 self._reader.feed(await self._stream.receive(CHUNK_BYTES))
         except (MessageError, msgpack.UnpackException, ValueError) as error:
-            raise PeerError(f"{self.forwarder} gave no answer of ours") from error
+            raise PeerError(f"{self.forwarder} sent an unreadable response") from error
 
     @staticmethod
-    def _read_answer(value: object) -> TunnelOpened | TunnelRefused:
-        answer = decode(value)
-        if not isinstance(answer, TunnelOpened | TunnelRefused):
-            raise MessageError(f"no answer to a question for a tunnel: {answer!r:.100}")
-        return answer
+    def _decode_response(value: object) -> TunnelOpened | TunnelRefused:
+        response = decode(value)
+        if not isinstance(response, TunnelOpened | TunnelRefused):
+            raise MessageError(
+                f"unexpected response to a tunnel request: {response!r:.100}"
+            )
+        return response
 
     async def receive(self) -> bytes:
         """See `ClientStream.receive`."""
@@ -106,7 +116,9 @@
             try:
                 self._reader.feed(await self._stream.receive(CHUNK_BYTES))
             except STREAM_ERRORS as error:
-                raise ConnectionError(f"by {self.forwarder}: {error!r}") from error
+                raise ConnectionError(
+                    f"tunnel through {self.forwarder}: {error!r}"
+                ) from error
         return b""
 
     def _read(self) -> bytes:
@@ -118,7 +130,9 @@
                     break
                 parts.append(value)
         except (msgpack.UnpackException, ValueError) as error:
-            raise ConnectionError(f"by {self.forwarder}: {error!r}") from error
+            raise ConnectionError(
+                f"tunnel through {self.forwarder}: {error!r}"
+            ) from error
         return b"".join(parts)
 
     async def send(self, data: bytes) -> None:
@@ -126,7 +140,9 @@
         try:
             await self._stream.send(data)
         except STREAM_ERRORS as error:
-            raise ConnectionError(f"by {self.forwarder}: {error!r}") from error
+            raise ConnectionError(
+                f"tunnel through {self.forwarder}: {error!r}"
+            ) from error
 
     def close(self) -> None:
         """See `ClientStream.close`."""
@@ -134,22 +150,22 @@
 
 
 class TunnelRace:
-    """Questions to several hosts, of which the first tunnel is used.
+    """Requests to several hosts, of which the first opened tunnel is used.
 
     Attributes
     ----------
-    asked : int
-        Hosts that have not answered yet.
+    pending : int
+        Hosts that have not responded yet.
     unreachable : int
-        Hosts that have links and do not reach the endpoint.
+        Hosts that have links but do not reach the endpoint.
     stream : TunnelStream or None
-        The first tunnel.
+        The first tunnel that was opened.
     """
 
-    __slots__ = ("_changed", "asked", "stream", "unreachable")
+    __slots__ = ("_changed", "pending", "stream", "unreachable")
 
     def __init__(self) -> None:
-        self.asked = 0
+        self.pending = 0
         self.unreachable = 0
         self.stream: TunnelStream | None = None
         self._changed = anyio.Event()
@@ -159,61 +175,61 @@
         """Whether there is a tunnel, or proof that there can be none."""
         return self.stream is not None or self.unreachable >= UNREACHABLE_PROOF
 
-    async def wait(self, longest_s: float) -> None:
-        """Wait for an answer, or for some seconds."""
-        with anyio.move_on_after(longest_s):
+    async def wait(self, timeout_s: float) -> None:
+        """Wait for a response, for some seconds at most."""
+        with anyio.move_on_after(timeout_s):
             await self._changed.wait()
 
-    def _note_answer(self) -> None:
-        self.asked -= 1
+    def _record_response(self) -> None:
+        self.pending -= 1
         self._changed.set()
         self._changed = anyio.Event()
 
-    def opened(self, stream: TunnelStream) -> None:
-        """Take a tunnel; only the first is kept."""
+    def record_opened(self, stream: TunnelStream) -> None:
+        """Record an opened tunnel; close it unless it is the first."""
         if self.stream is None:
             self.stream = stream
         else:
             stream.close()
-        self._note_answer()
+        self._record_response()
 
-    def failed(self, reason: str) -> None:
-        """Record that a host opened none."""
+    def record_failed(self, reason: str) -> None:
+        """Record that a host opened no tunnel."""
         self.unreachable += reason == "unreachable"
-        self._note_answer()
+        self._record_response()
 
     def take(self) -> TunnelStream:
-        """Return the tunnel, which the taker closes; there must be one."""
+        """Return the tunnel, which there must be; the caller must close it."""
         assert self.stream is not None
         stream, self.stream = self.stream, None
         return stream
 
     def close(self) -> None:
-        """Close a tunnel that nobody took."""
+        """Close a tunnel that was not taken."""
         if self.stream is not None:
             self.stream.close()
 
 
 class Tunnels:
-    """Has other hosts carry connections to endpoints.
+    """Opens connections to endpoints through other hosts.
 
     Parameters
     ----------
     hub : Hub
-        Beliefs, which name the other daemons.
+        The state of the cluster, which lists the other daemons.
     """
 
     def __init__(self, hub: Hub) -> None:
         self._hub = hub
         self._forwarders = Forwarders(hub.identity.name)
-        self._known_of = -1
+        self._applied_owner_changes = -1
 
     @property
     def forwarders(self) -> Forwarders:
-        """The hosts that are asked."""
+        """The hosts that may forward connections."""
         cluster = self._hub.cluster
-        if self._known_of != cluster.owner_changes:
-            self._known_of = cluster.owner_changes
+        if self._applied_owner_changes != cluster.owner_changes:
+            self._applied_owner_changes = cluster.owner_changes
             self._forwarders.set_daemons(
                 cluster.daemons.values(), cluster.without_links
             )
@@ -222,27 +238,27 @@
     async def open(self, destination: Destination) -> TunnelStream:
         """Open a connection to an endpoint through another host.
 
-        Hosts are asked one after another, without waiting for those that are slow: they
-        may be trying links that are lost as well.
+        Hosts get requests one after another, without waiting for slow ones, whose own
+        links may be lost.
 
         Raises
         ------
         NotSentError
-            If none can be had. ``is_lost``: hosts that have links do not reach the
-            endpoint either, or there are no other hosts.
+            If no host opens one. ``is_lost`` is set if hosts that have links do not
+            reach the endpoint either, or if there are no other hosts.
         """
         race = TunnelRace()
         names = self.forwarders.in_order(loop_time_s())[:MOST_ASKED]
-        with closing(race), anyio.move_on_after(ASK_ALL_S):
+        with closing(race), anyio.move_on_after(TOTAL_TIMEOUT_S):
             async with anyio.create_task_group() as tasks:
                 for name in names:
-                    race.asked += 1
+                    race.pending += 1
                     tasks.start_soon(self._run, name, destination, race)
                     await race.wait(STAGGER_S)
                     if race.is_decided:
                         break
-                while race.asked and not race.is_decided:
-                    await race.wait(ASK_ALL_S)
+                while race.pending and not race.is_decided:
+                    await race.wait(TOTAL_TIMEOUT_S)
                 tasks.cancel_scope.cancel()
             if race.stream is not None:
                 return race.take()
@@ -251,25 +267,25 @@
         raise NotSentError(f"{destination.address}: no host reaches it", is_lost)
 
     async def _run(self, name: str, destination: Destination, race: TunnelRace) -> None:
-        """Ask one host for a tunnel, beside others."""
+        """Request a tunnel from one host, concurrently with others."""
         try:
-            with anyio.fail_after(ASK_S):
-                stream, answer = await self._dial(name, destination)
+            with anyio.fail_after(REQUEST_TIMEOUT_S):
+                stream, response = await self._dial(name, destination)
         except STREAM_ERRORS as error:
-            self._note_refused(name, destination, repr(error))
-            race.failed("")
+            self._record_refusal(name, destination, repr(error))
+            race.record_failed("")
             return
-        if isinstance(answer, TunnelOpened):
-            self._forwarders.record_opened(name, answer.tunnels)
+        if isinstance(response, TunnelOpened):
+            self._forwarders.record_opened(name, response.tunnels)
             self._hub.metrics.count("tunnels", "opened")
-            race.opened(stream)
+            race.record_opened(stream)
             return
         stream.close()
-        if answer.reason not in OF_ONE_ENDPOINT:
-            self._note_refused(name, destination, answer.reason)
-        race.failed(answer.reason)
+        if response.reason not in ENDPOINT_REASONS:
+            self._record_refusal(name, destination, response.reason)
+        race.record_failed(response.reason)
 
-    def _note_refused(self, name: str, destination: Destination, cause: str) -> None:
+    def _record_refusal(self, name: str, destination: Destination, cause: str) -> None:
         self._forwarders.record_refused(name, loop_time_s())
         self._hub.metrics.count("tunnels", "refused")
         self._hub.log.info(
@@ -287,12 +303,12 @@
         if record is None:
             raise PeerError(f"{name} is not listed")
         async with AsyncExitStack() as stack:
-            made = await connect_peer(*split_address(record.address))
-            stack.callback(made.abort)
-            set_socket_options(made.raw)
+            socket = await connect_peer(*split_address(record.address))
+            stack.callback(socket.abort)
+            set_socket_options(socket.raw)
             handshake = Handshake(identity.name, identity.incarnation, cluster.secret)
-            await handshake.greet(made, name)
-            stream = TunnelStream(made, name)
-            answer = await stream.ask(destination)
+            await handshake.greet(socket, name)
+            stream = TunnelStream(socket, name)
+            response = await stream.ask(destination)
             stack.pop_all()
-            return stream, answer
+            return stream, response
--- a/packages/daemon/src/knapweedbridge_daemon/serving/turn_scheduler.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/turn_scheduler.py
@@ -1,4 +1,4 @@
-"""Lets daemons send prompts to one engine that this daemon owns."""
+"""Schedules the prompts that daemons send to an engine owned by this daemon."""
 
 import math
 
@@ -22,12 +22,12 @@
 
 
 class TurnScheduler:
-    """The task that gives the prompts for one engine their turns.
+    """Grants the turns of the prompts for one engine.
 
     Parameters
     ----------
     hub : Hub
-        Configuration, and what is known of the engine's speed.
+        The configuration, and the measured speed of the engine.
     endpoint : Endpoint
         The engine.
     number : int
@@ -37,7 +37,7 @@
     send : callable
         Sends a message to a daemon.
     speed : EngineSpeed
-        The engine's speed: in a slow period fewer tokens pass.
+        The engine's speed; in a slow period fewer tokens are granted.
     """
 
     def __init__(
@@ -55,7 +55,7 @@
         self._endpoint = endpoint
         self._number = number
         self._send = send
-        self._asked = anyio.Event()
+        self._queued = anyio.Event()
         self._pacer = self._make_pacer()
 
     def _make_pacer(self) -> PromptPacer:
@@ -66,48 +66,48 @@
         return WindowPacing(gap_s, self._hub.rates.token_s(service))
 
     async def enqueue(self, daemon: str, message: TurnRequest) -> None:
-        """Take a daemon's question, and answer it at once."""
+        """Queue a daemon's request, and respond at once."""
         now_s = anyio.current_time()
         self._pacer.ask(
             PromptTurn(daemon, message.ticket, message.tokens, message.urgency, now_s)
         )
-        if not await self._give(now_s, daemon):
+        if not await self._grant_due(now_s, daemon):
             await self._send(daemon, OwnerAck(self._endpoint.name, self._number))
-            self._asked.set()
+            self._queued.set()
 
     def sent(self, tokens: int) -> None:
-        """Take a prompt that was sent without a turn; `record_pause` must follow."""
+        """Record a prompt sent without a turn; `record_pause` must be called next."""
         now_s = anyio.current_time()
         self._pacer.sent(tokens, now_s)
         self._long_prompts.note(tokens, now_s)
 
     def record_pause(self, pause_s: float) -> None:
-        """Take the longest pause of streams that ran on the engine just now."""
+        """Record the longest recent pause of the streams that run on the engine."""
         before = self._pacer.budget_tokens
         now_s = anyio.current_time()
         self._pacer.record_pause(pause_s, now_s)
-        self._show_pace(now_s)
-        now = self._pacer.budget_tokens
-        if now != before:
+        self._update_pace(now_s)
+        after = self._pacer.budget_tokens
+        if after != before:
             self._hub.log.info(
                 "pacing.changed",
                 engine=self._endpoint.name,
                 pause_s=round(pause_s, 3),
                 before_tokens=round(before),
-                tokens=round(now),
+                tokens=round(after),
             )
 
     async def run(self) -> None:
-        """Give the turns of those that wait until cancelled."""
+        """Until cancelled, grant the turns of waiting prompts."""
         while True:
             next_s = self._pacer.next_s(anyio.current_time())
-            self._asked = anyio.Event()
+            self._queued = anyio.Event()
             with anyio.move_on_at(math.inf if next_s is None else next_s):
-                await self._asked.wait()
-            await self._give(anyio.current_time())
+                await self._queued.wait()
+            await self._grant_due(anyio.current_time())
 
-    def _show_pace(self, now_s: float) -> None:
-        """Put what daemons are told of the pace up to date."""
+    def _update_pace(self, now_s: float) -> None:
+        """Update the pace that is published to daemons."""
         if isinstance(self._pacer, WindowPacing):
             token_s = self._hub.rates.engine_token_s(self._endpoint)
             self._pacer.token_s = token_s * self._speed.slow_period_ratio(now_s)
@@ -117,13 +117,13 @@
             self._long_prompts.pace_scale = self._pacer.measured_scale
         self._long_prompts.pace_tokens = self._pacer.budget_tokens
 
-    async def _give(self, now_s: float, asker: str = "") -> bool:
-        """Give the turns that are due; tell whether the asker got one."""
-        self._show_pace(now_s)
+    async def _grant_due(self, now_s: float, requester: str = "") -> bool:
+        """Grant the turns that are due; return whether the requester got one."""
+        self._update_pace(now_s)
         by_daemon: dict[str, list[int]] = {}
         for turn in self._pacer.due(now_s):
             self._long_prompts.note(turn.tokens, now_s)
             by_daemon.setdefault(turn.daemon, []).append(turn.ticket)
         for daemon, tickets in by_daemon.items():
             await self._send(daemon, TurnGrant(self._endpoint.name, tickets))
-        return asker in by_daemon
+        return requester in by_daemon
--- a/packages/daemon/src/knapweedbridge_daemon/serving/turns.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/turns.py
@@ -1,4 +1,4 @@
-"""Waits for the turns of this daemon's prompts, which the engines' owners give."""
+"""Waits for the turns of this daemon's prompts, which the engines' owners grant."""
 
 import itertools
 import math
@@ -16,31 +16,31 @@
 from knapweedbridge_core.serving.prompt_pacing import LONGEST_WAIT_S, passes_at_once
 from knapweedbridge_daemon.serving.hub import Hub, Send
 
-ANSWER_S = 0.03
-"""How long an owner has to answer; it takes milliseconds, and one that is gone or
-frozen must not keep prompts from its engine."""
+RESPONSE_TIMEOUT_S = 0.03
+"""Timeout for the response of an owner, which takes milliseconds. An owner that is gone
+or frozen must not keep prompts from its engine."""
 
-OWN_MOST = 200
-"""Engines without an owner whose prompts this daemon paces itself."""
+MAX_OWN_PACERS = 200
+"""Most engines without an owner whose prompts this daemon paces itself."""
 
-TURN_S = LONGEST_WAIT_S + ANSWER_S
+TURN_TIMEOUT_S = LONGEST_WAIT_S + RESPONSE_TIMEOUT_S
 """Longest wait for a turn, after which a prompt is sent without one."""
 
 
 class Turns:
     """The turns that this daemon's prompts wait for.
 
-    A turn steers load and protects nothing else: where no owner gives one, the prompt
-    is sent all the same.
+    A turn only paces the load of an engine: if no owner grants one, the prompt is sent
+    without it.
 
     Parameters
     ----------
     hub : Hub
-        Beliefs.
+        The state of this daemon.
     send : callable
-        Sends a message to a daemon, this one too.
+        Sends a message to a daemon, which may be this one.
     record_prompt_sent : callable
-        Has the engine's owner told of a prompt that is sent without a turn.
+        Reports a prompt that is sent without a turn to the engine's owner.
     """
 
     def __init__(
@@ -49,44 +49,47 @@
         send: Send,
         record_prompt_sent: Callable[[EndpointStart, int], None],
     ) -> None:
-        self._note_sent = record_prompt_sent
+        self._record_prompt_sent = record_prompt_sent
         self._hub = hub
         self._send = send
         self._tickets = itertools.count(1)
         self._waiting: dict[int, anyio.Event] = {}
-        self._own: dict[str, WindowPacing] = {}
+        self._own_pacers: dict[str, WindowPacing] = {}
 
     async def take(self, endpoint: Endpoint, tokens: int, urgency: int) -> None:
-        """Wait until a prompt may be sent, which counts as unread there already."""
+        """Wait until a prompt may be sent; `endpoint.unread_tokens` includes it."""
         now_s = anyio.current_time()
         if not endpoint.owner or endpoint.has_silent_owner(now_s):
-            await self._take_own(endpoint, tokens, urgency)
+            await self._wait_own_pace(endpoint, tokens, urgency)
             return
         if passes_at_once(
             endpoint.unread_tokens - tokens, tokens, endpoint.pace_tokens
         ):
-            self._note_sent(endpoint.start, tokens)
+            self._record_prompt_sent(endpoint.start, tokens)
             return
         ticket = next(self._tickets)
-        given = self._waiting[ticket] = anyio.Event()
+        granted = self._waiting[ticket] = anyio.Event()
         try:
             endpoint.record_owner_request(now_s)
-            asked = TurnRequest(endpoint.name, ticket, tokens, urgency)
-            await self._send(endpoint.owner, asked)
-            with anyio.move_on_after(ANSWER_S):
-                await given.wait()
-            # An owner that has answered, if only that the turn comes later, is there.
-            if not given.is_set() and endpoint.asked_s is None:
-                with anyio.move_on_at(now_s + TURN_S):
-                    await given.wait()
+            request = TurnRequest(endpoint.name, ticket, tokens, urgency)
+            await self._send(endpoint.owner, request)
+            with anyio.move_on_after(RESPONSE_TIMEOUT_S):
+                await granted.wait()
+            # An owner that has responded is running, even if the turn comes later.
+            if not granted.is_set() and endpoint.asked_s is None:
+                with anyio.move_on_at(now_s + TURN_TIMEOUT_S):
+                    await granted.wait()
         finally:
             del self._waiting[ticket]
 
-    async def _take_own(self, endpoint: Endpoint, tokens: int, urgency: int) -> None:
-        """Wait for a turn that no owner gives, within this daemon's part of them all.
+    async def _wait_own_pace(
+        self, endpoint: Endpoint, tokens: int, urgency: int
+    ) -> None:
+        """Wait for a turn at an engine without an owner, within this daemon's share.
 
-        After a restart of all daemons their callers come at once, before any engine
-        has an owner: 19,000 tokens went to each within 0.25 s, and paused its streams.
+        After a restart of all daemons their callers send requests at once, before any
+        engine has an owner: 19,000 tokens went to each engine within 0.25 s, and paused
+        its streams.
         """
         pacer = self._own_pacer(endpoint)
         if pacer is None:
@@ -95,13 +98,13 @@
             "", next(self._tickets), tokens, urgency, anyio.current_time()
         )
         pacer.ask(turn)
-        given = self._waiting[turn.ticket] = anyio.Event()
+        granted = self._waiting[turn.ticket] = anyio.Event()
         try:
-            while not given.is_set():
-                self._give(each.ticket for each in pacer.due(anyio.current_time()))
+            while not granted.is_set():
+                self._grant(each.ticket for each in pacer.due(anyio.current_time()))
                 next_s = pacer.next_s(anyio.current_time())
                 with anyio.move_on_at(math.inf if next_s is None else next_s):
-                    await given.wait()
+                    await granted.wait()
         finally:
             del self._waiting[turn.ticket]
 
@@ -111,22 +114,22 @@
         if gap_s is None:
             return None
         token_s = self._hub.rates.token_s(service) * self._hub.daemons
-        pacer = self._own.get(endpoint.name)
+        pacer = self._own_pacers.get(endpoint.name)
         if pacer is None:
-            if len(self._own) >= OWN_MOST:
-                self._own.clear()
-            pacer = self._own[endpoint.name] = WindowPacing(gap_s, token_s)
+            if len(self._own_pacers) >= MAX_OWN_PACERS:
+                self._own_pacers.clear()
+            pacer = self._own_pacers[endpoint.name] = WindowPacing(gap_s, token_s)
         pacer.token_s = token_s
         return pacer
 
-    def given(self, message: TurnGrant) -> None:
-        """Take the turns that an owner gave."""
+    def record_grant(self, message: TurnGrant) -> None:
+        """Handle the turns that an owner granted."""
         endpoint = self._hub.cluster.fleet.endpoints.get(message.endpoint)
         if endpoint is not None:
             endpoint.asked_s = None
-        self._give(message.tickets)
+        self._grant(message.tickets)
 
-    def _give(self, tickets: Iterable[int]) -> None:
+    def _grant(self, tickets: Iterable[int]) -> None:
         for ticket in tickets:
             if ticket in self._waiting:
                 self._waiting[ticket].set()
