--- a/packages/core/src/knapweedbridge_core/grant_side.py
+++ b/packages/core/src/knapweedbridge_core/grant_side.py
@@ -119,7 +119,7 @@
             for model, attempt_id in held:
                 tenure.ledger.held(model, attempt_id, host, now_s)
             if not tenure.checks_fencing:
-                tenure.takeover.quarantine(message.condemned, now_s)
+                tenure.takeover.quarantine(message.quarantined, now_s)
             tenure.takeover.unheard.discard(host)
         else:
             tenure.ledger.keep_only(host, set(message.attempts), request.since_s)
--- a/packages/core/src/knapweedbridge_core/holder_side.py
+++ b/packages/core/src/knapweedbridge_core/holder_side.py
@@ -87,13 +87,13 @@
             for attempt_id, grant in self._held.items()
             if grant.endpoint == endpoint
         }
-        condemned = [
+        quarantined = [
             model
             for (intent_endpoint, model), intent in self._intents.items()
             if intent_endpoint == endpoint and intent.number < number
         ]
         return messages.HeldGrants(
-            endpoint, number, list(held), list(held.values()), condemned
+            endpoint, number, list(held), list(held.values()), quarantined
         )
 
     def _eviction_intent(self, message: messages.EvictionIntent) -> None:
--- a/packages/core/src/knapweedbridge_core/order_side.py
+++ b/packages/core/src/knapweedbridge_core/order_side.py
@@ -113,10 +113,10 @@
 
     def _evict_condemned(self, tenure: Tenure) -> None:
         now_s = self._context.now_s
-        condemned = tenure.takeover.condemned
-        for model, until_s in list(condemned.items()):
+        quarantined = tenure.takeover.quarantined
+        for model, until_s in list(quarantined.items()):
             if now_s >= until_s:
-                del condemned[model]
+                del quarantined[model]
             else:
                 self._evict(tenure, model)
 
--- a/packages/core/src/knapweedbridge_core/owner_messages.py
+++ b/packages/core/src/knapweedbridge_core/owner_messages.py
@@ -31,7 +31,7 @@
     ----------
     attempts, models : list
         The attempts with a grant, and the adapter version of each.
-    condemned : list of AdapterVersion
+    quarantined : list of AdapterVersion
         Adapter versions that an earlier owner announced to evict.
     """
 
@@ -39,7 +39,7 @@
     number: int
     attempts: list[str]
     models: list[AdapterVersion]
-    condemned: list[AdapterVersion]
+    quarantined: list[AdapterVersion]
 
 
 @message(tag="OwnerRose")
@@ -85,7 +85,7 @@
     ----------
     grant_models, grant_attempts, grant_holders : list
         Adapter version, attempt and holder of each grant.
-    condemned : list of AdapterVersion
+    quarantined : list of AdapterVersion
         Adapter versions that an earlier owner announced to evict.
     """
 
@@ -95,4 +95,4 @@
     grant_models: list[AdapterVersion]
     grant_attempts: list[str]
     grant_holders: list[str]
-    condemned: list[AdapterVersion]
+    quarantined: list[AdapterVersion]
--- a/packages/core/src/knapweedbridge_core/owner_side.py
+++ b/packages/core/src/knapweedbridge_core/owner_side.py
@@ -179,7 +179,7 @@
                 [grant.model for grant in grants],
                 [grant.attempt_id for grant in grants],
                 [grant.holder for grant in grants],
-                list(tenure.takeover.condemned),
+                list(tenure.takeover.quarantined),
             ),
         )
 
@@ -203,7 +203,7 @@
         for grant in before.ledger.grants() if before is not None else []:
             ledger.held(grant.model, grant.attempt_id, grant.holder, now_s)
         takeover = Takeover(now_s, now_s)
-        takeover.quarantine(message.condemned, now_s)
+        takeover.quarantine(message.quarantined, now_s)
         tenure = Tenure(
             entry.name, message.number, entry.checks_fencing, ledger, takeover, True
         )
--- a/packages/core/src/knapweedbridge_core/takeover.py
+++ b/packages/core/src/knapweedbridge_core/takeover.py
@@ -45,14 +45,14 @@
         Before this nothing is evicted.
     unheard : set of str
         Daemons that may hold grants and have not told.
-    condemned : dict of AdapterVersion to float
+    quarantined : dict of AdapterVersion to float
         Names that a late eviction may hit, and until when they are kept away.
     """
 
     began_s: float = -inf
     settled_s: float = -inf
     unheard: set[str] = field(default_factory=set)
-    condemned: dict[AdapterVersion, float] = field(default_factory=dict)
+    quarantined: dict[AdapterVersion, float] = field(default_factory=dict)
 
     @property
     def is_collected(self) -> bool:
@@ -62,11 +62,11 @@
     def quarantine(self, models: list[AdapterVersion], now_s: float) -> None:
         """Keep names away that an earlier owner may have ordered to evict."""
         for model in models:
-            self.condemned[model] = max(now_s, self.settled_s) + QUARANTINE_S
+            self.quarantined[model] = max(now_s, self.settled_s) + QUARANTINE_S
 
     def is_condemned(self, model: AdapterVersion, now_s: float) -> bool:
         """Tell whether a name is kept away."""
-        return now_s < self.condemned.get(model, -inf)
+        return now_s < self.quarantined.get(model, -inf)
 
     def may_evict(self, now_s: float) -> bool:
         """Tell whether the first eviction may come."""
