--- a/features/attempts/claims.feature
+++ b/features/attempts/claims.feature
@@ -1,14 +1,14 @@
 Feature: A non-idempotent request runs at most once
 
   Scenario Outline: A repeat with the same idempotency key
-    A port cashier's receipt gets no answer in time, and the cashier's program
-    sends it again, through whichever host the balancer picks. Run twice, the
-    master is billed twice. Each daemon alone sees only one request.
+    A client gets no answer in time and repeats its request through whichever host the
+    load balancer chooses. Each daemon alone sees only one request. Run twice, it would
+    bill the customer twice.
 
     Given three daemons and a store that is "<store>"
-    When a receipt is asked for through host-0
+    When a request for a receipt is sent through host-0
     And its caller repeats it through "<host>" <when>
-    Then the first is told "<first>" and the repeat "<repeat>", and it ran <runs> times
+    Then the first gets "<first>" and the repeat "<repeat>", and it ran <runs> times
 
     Examples:
       | store          | host   | when                                    | first      | repeat              | runs |
@@ -33,8 +33,8 @@
 
   Scenario: At most once holds in any order of repeats, kills and store faults
     Given three daemons and a store that is "up"
-    When 120 histories of repeats, kills and faults of the store are played
-    Then no key ran twice, and nothing told to be not run had run
+    When 120 histories of repeats, kills and faults of the store are run
+    Then no key ran twice, and nothing reported as not run had run
 
   Scenario: Many claims share a write
     Given 20 receipts a second arrive at each of three daemons for 5 seconds
--- a/features/attempts/endpoints.feature
+++ b/features/attempts/endpoints.feature
@@ -1,9 +1,8 @@
-Feature: What an endpoint's reply proves
+Feature: What an endpoint's response proves
 
   Scenario Outline: A status is an answer, a proof, or neither
-    A port cashier asks for an invoice that does not exist, and gets "come
-    back later" three times over instead of "404": the service's own answer
-    was taken for a refusal to run.
+    A caller asks for an invoice that does not exist, and gets "retry later" three times
+    instead of "404": the service's own answer was taken for a refusal to run.
 
     When a "<kind>" answers <status> with the body "<body>"
     Then the attempt ends as "<outcome>"
@@ -29,9 +28,9 @@
       | engine | 503    | {"error": {"code": "what"}}          | Unknown endpoint_failed |
 
   Scenario Outline: "Not run" is proved by no byte having been written
-    A pooled connection was closed by the far side. Closed before the request
-    was written, it did not run; closed after, it may have. The library raises
-    much the same error for both.
+    The server closes a pooled connection. If it was closed before the request was
+    written, the request did not run; if after, it may have. The library raises nearly
+    the same error for both.
 
     Given a server that does "<script>" on each connection and closes it
     When <count> attempts are made, each after the connection was closed
@@ -44,14 +43,14 @@
       | half   | 1     | Unknown stream_broken                        |
 
   Scenario: A refused connection proves that nothing ran
-    Given a port on which nobody listens
+    Given a port on which nothing listens
     When 1 attempts are made, each after the connection was closed
     Then the attempt ends as "NotRun connect_failed"
 
   Scenario Outline: The tokens delivered are counted though the stream breaks
-    A streamed answer breaks after some tokens. The caller gets the text twice:
-    the count of delivered tokens was lost with the broken stream, so the
-    request was repeated as if nothing had been delivered.
+    A streamed answer breaks after some tokens, and the caller gets the text twice: the
+    count of delivered tokens was lost with the stream, and the request was retried as if
+    nothing had been delivered.
 
     When a stream of <events> events breaks within the next, in chunks of <size>
     Then the count delivered is <events>, and the caller has that many whole events
--- a/features/attempts/environment.py
+++ b/features/attempts/environment.py
@@ -5,10 +5,10 @@
 from knapweedbridge_standins.silent_proxy import SilentProxy
 
 BASE_PORT = 23100
-# An address of its own for each run, so that several may run at once.
+# Each run has its own address, so that several may run at once.
 IP = f"127.{1 + os.getpid() // 250 % 250}.{1 + os.getpid() % 250}.2"
 PROXY = f"{IP}:{BASE_PORT + 90}"
-FOLDER = f"[endpoint draft-0]\naddress = {PROXY}\n"
+PROXY_CONFIGURATION = f"[endpoint draft-0]\naddress = {PROXY}\n"
 SETTINGS = """
 [requests]
 connect_timeout_s = 1
@@ -21,13 +21,13 @@
 def make_platform():
     return EmbeddedPlatform(
         Example(BASE_PORT, daemons=1, engines=1, slots=4, ip=IP),
-        extra_files={"90-proxy.ini": FOLDER},
+        extra_files={"90-proxy.ini": PROXY_CONFIGURATION},
         extra_settings=SETTINGS,
     )
 
 
 class Shared:
-    """The platform and its proxy, started at their first use."""
+    """The platform and its proxy, started on first use."""
 
     def __init__(self):
         self.runner = None
--- a/features/attempts/rules.feature
+++ b/features/attempts/rules.feature
@@ -1,4 +1,4 @@
-Feature: Operators say which requests may never be repeated
+Feature: Rules that decide which requests may never be repeated
 
   Scenario Outline: The most specific rule decides
     Given the service "receipts" at /receipts and the rules
@@ -11,7 +11,7 @@
       | sign  |        | receipts |             |         | /notes/new |                | refuse      |
       | put   |        | receipts |             | PUT     | /notes/new | no             | run         |
       | apply |        |          | pilotage    |         |            |                | refuse      |
-    When "<call>" is judged
+    When the rules are applied to "<call>"
     Then it may run only once: <once>, and without a key: "<without>"
 
     Examples:
@@ -31,14 +31,13 @@
       | model tariff@1                 | yes  | refuse                 |
 
   Scenario Outline: A receipt without a key, with the store up and down
-    A cashier's program sends a receipt without an idempotency key. The
-    key-value service is down, and the operators want nothing billed then that
-    cannot be recorded. The receipt runs all the same.
-    The cause was that a request without a key never asked the store.
+    The key-value service is down, and a request without an idempotency key runs although
+    the operators allow only requests that can be recorded. A request without a key never
+    queried the store.
 
     Given three daemons and a store that is "<store>"
-    When a receipt without a key comes to host-0 under "<without>"
-    Then it is told "<told>" within <within> s, and it ran <runs> times
+    When a request without a key is sent through host-0 under "<without>"
+    Then it gets "<told>" within <within> s, and it ran <runs> times
 
     Examples:
       | store        | without                | told         | within | runs |
@@ -51,7 +50,7 @@
       | down         | refuse_when_store_down | store_down   | 2.5    | 0    |
       | writing late | refuse_when_store_down | store_down   | 2.5    | 0    |
 
-  Scenario: Two receipts without a key are two
+  Scenario: Two equal requests without a key are distinct
     Given three daemons and a store that is "up"
-    When two equal receipts without a key come under "refuse_when_store_down"
+    When two equal requests without a key arrive under "refuse_when_store_down"
     Then both are answered, and both ran
--- a/features/attempts/steps/core_steps.py
+++ b/features/attempts/steps/core_steps.py
@@ -27,63 +27,65 @@
         for port, name in enumerate(ENGINES, 1)
     },
     **{
-        f"endpoint counter-{place}": {
-            "address": f"127.0.0.1:{place + 11}",
+        f"endpoint counter-{number}": {
+            "address": f"127.0.0.1:{number + 11}",
             "kind": "service",
             "data_centre": "dc1",
             "service": "orders",
         }
-        for place in range(2)
+        for number in range(2)
     },
 }
 
 
 class Core:
-    """One core of which a peer owns every engine; time is virtual."""
+    """A core whose peers own every engine, on a virtual clock."""
 
     def __init__(self):
         self.bridge = Bridge("host-0", "dc1")
         self.now_s = 100.0
         self.actions = []
         self.requests = 0
-        self.tell(events.ConfigurationRead(build(1, SECTIONS)[0]))
+        self.handle(events.ConfigurationRead(build(1, SECTIONS)[0]))
         peers = [
             events.ListedHost(name, "daemon", "dc1", "127.0.0.1:9", False)
             for name in ("host-1", "host-2")
         ]
-        self.tell(events.HostsListed(tuple(peers)))
+        self.handle(events.HostsListed(tuple(peers)))
         for peer in peers:
-            self.tell(events.PeerConnected(peer.name))
+            self.handle(events.PeerConnected(peer.name))
         self.owned_by("host-1", 1)
 
-    def given(self, ask):
-        return messages.GrantGiven(ask.attempt_id, ask.endpoint, self.number)
+    def grant_for(self, request):
+        return messages.GrantGiven(request.attempt_id, request.endpoint, self.number)
 
     def owned_by(self, owner, number):
         self.number = number
         for name in ENGINES:
-            self.hear(owner, messages.EndpointUpdate(name, owner, number, [MODEL], 0))
+            self.receive(
+                owner, messages.EndpointUpdate(name, owner, number, [MODEL], 0)
+            )
 
-    def tell(self, event):
+    def handle(self, event):
         self.actions += self.bridge.handle(event, self.now_s)
 
-    def hear(self, peer, message):
-        self.tell(events.PeerMessage(peer, message))
+    def receive(self, peer, message):
+        self.handle(events.PeerMessage(peer, message))
 
-    def taken(self, kind):
+    def emitted(self, kind):
         return [action for action in self.actions if isinstance(action, kind)]
 
     def sent(self, kind):
         return [
             (action.host, action.message)
-            for action in self.taken(SendPeer)
+            for action in self.emitted(SendPeer)
             if isinstance(action.message, kind)
         ]
 
     def pass_time(self, seconds):
         for _ in range(round(seconds * 10)):
             self.now_s += 0.1
-            self.tell(events.Tick())
+            self.handle(events.Tick())
 
     def arrive(self, kind, **fields):
         self.requests += 1
@@ -101,17 +103,17 @@
             "streamed": "streamed" in kind.split(),
         }
         request = events.Request(**{**values, **fields})
-        self.tell(events.RequestArrived(request))
+        self.handle(events.RequestArrived(request))
         return request
 
     def grant(self):
-        owner, ask = self.sent(messages.GrantRequest)[-1]
-        self.hear(owner, self.given(ask))
+        owner, request = self.sent(messages.GrantRequest)[-1]
+        self.receive(owner, self.grant_for(request))
 
     def end(self, outcome, attempt_id=""):
-        attempt_id = attempt_id or self.taken(Dispatch)[-1].attempt_id
+        attempt_id = attempt_id or self.emitted(Dispatch)[-1].attempt_id
         request_id = attempt_id.rpartition(".")[0]
-        self.tell(events.AttemptEnded(request_id, attempt_id, outcome))
+        self.handle(events.AttemptEnded(request_id, attempt_id, outcome))
 
 
 def outcome_of(text):
@@ -134,7 +136,7 @@
     context.request = context.core.arrive(kind)
     if context.core.sent(messages.GrantRequest):
         context.core.grant()
-    assert len(context.core.taken(Dispatch)) == 1
+    assert len(context.core.emitted(Dispatch)) == 1
     context.core.actions.clear()
 
 
@@ -157,22 +159,22 @@
 
 
 @when("a streamed request asks for a grant")
-def asks(context):
+def request_grant(context):
     context.core.arrive("streamed")
 
 
 @when("the grant of the first attempt comes late")
 def late_grant(context):
-    owner, ask = context.core.sent(messages.GrantRequest)[0]
+    owner, request = context.core.sent(messages.GrantRequest)[0]
     context.core.actions.clear()
-    context.core.hear(owner, context.core.given(ask))
+    context.core.receive(owner, context.core.grant_for(request))
 
 
-@when("its adapter is held nowhere any more")
-def held_nowhere(context):
+@when("no endpoint holds its adapter any more")
+def adapter_evicted(context):
     for name in ENGINES:
-        emptied = messages.EndpointUpdate(name, "host-1", 1, [], 0)
-        context.core.hear("host-1", emptied)
+        update = messages.EndpointUpdate(name, "host-1", 1, [], 0)
+        context.core.receive("host-1", update)
 
 
 @when('"{owner}" takes over the engines')
@@ -182,13 +184,13 @@
 
 @when("the endpoint was told to cancel it")
 def cancelled(context):
-    attempt_id = context.core.taken(CancelAttempt)[-1].attempt_id
-    context.core.tell(events.AttemptCancelled(attempt_id, True))
+    attempt_id = context.core.emitted(CancelAttempt)[-1].attempt_id
+    context.core.handle(events.AttemptCancelled(attempt_id, True))
 
 
-@when("its caller goes away")
-def caller_leaves(context):
-    context.core.tell(events.CallerDisconnected("r1"))
+@when("its caller disconnects")
+def caller_disconnects(context):
+    context.core.handle(events.CallerDisconnected("r1"))
 
 
 @then('what follows is "{what}"')
@@ -196,19 +198,19 @@
     core = context.core
     core.pass_time(0.3)
     found = "nothing"
-    if core.taken(Resume):
-        found = f"resume at {core.taken(Resume)[-1].offset}"
-    elif core.taken(Dispatch):
+    if core.emitted(Resume):
+        found = f"resume at {core.emitted(Resume)[-1].offset}"
+    elif core.emitted(Dispatch):
         found = "another attempt"
-    elif core.taken(Finish):
-        outcome = core.taken(Finish)[-1].outcome
+    elif core.emitted(Finish):
+        outcome = core.emitted(Finish)[-1].outcome
         found = f"the end: {type(outcome).__name__}"
     assert found == what, found
 
 
-@then('the request is told "{outcome}"')
-def told(context, outcome):
-    ended = [action.outcome for action in context.core.taken(Finish)]
+@then('the request ends as "{outcome}"')
+def request_ended(context, outcome):
+    ended = [action.outcome for action in context.core.emitted(Finish)]
     assert len(ended) == 1, ended
     wanted = outcome_of(outcome)
     assert type(ended[0]) is type(wanted), ended
@@ -216,23 +218,23 @@
         assert ended[0].reason == wanted.reason, ended
 
 
-@then("nothing was told yet")
-def nothing_told(context):
-    assert not context.core.taken(Finish)
+@then("the request has not ended")
+def request_not_ended(context):
+    assert not context.core.emitted(Finish)
 
 
-@then('the grant of "{attempt_id}" went back to {owners}')
-def grant_back(context, attempt_id, owners):
+@then('the grant of "{attempt_id}" was returned to {owners}')
+def grant_returned(context, attempt_id, owners):
     wanted = [owner.strip('"') for owner in owners.split(" and ")]
-    back = [
+    returned = [
         (host, message.attempt_id)
         for host, message in context.core.sent(messages.GrantReturned)
     ]
-    assert back == [(owner, attempt_id) for owner in wanted], back
+    assert returned == [(owner, attempt_id) for owner in wanted], returned
 
 
-@then("no grant went back")
-def no_grant_back(context):
+@then("no grant was returned")
+def no_grant_returned(context):
     assert not context.core.sent(messages.GrantReturned)
 
 
@@ -243,9 +245,9 @@
     for _ in range(count):
         core.now_s += 0.01
         core.arrive("idempotent call")
-        core.tell(events.Tick())
-        while core.taken(Dispatch):
-            sent = core.taken(Dispatch)[-1]
+        core.handle(events.Tick())
+        while core.emitted(Dispatch):
+            sent = core.emitted(Dispatch)[-1]
             core.actions.clear()
             context.attempts += 1
             core.end(NotRun(Reason.CONNECT_FAILED), sent.attempt_id)
@@ -258,6 +260,6 @@
     assert context.attempts > context.count, "no retry at all"
 
 
-@then("each was answered at once, and told when to come back")
+@then("each was answered at once, and told when to retry")
 def answered_at_once(context):
     assert not context.core.bridge.requests.live
--- a/features/attempts/steps/endpoint_steps.py
+++ b/features/attempts/steps/endpoint_steps.py
@@ -37,7 +37,7 @@
 
 
 class Server(threading.Thread):
-    """Serves connections one after the other as its script says."""
+    """Serves one connection after the other according to its script."""
 
     def __init__(self, script):
         super().__init__(daemon=True)
@@ -68,15 +68,15 @@
     context.server.start()
 
 
-@given("a port on which nobody listens")
-def nobody(context):
+@given("a port on which nothing listens")
+def closed_port(context):
     with socket.create_server(("127.0.0.1", 0)) as listener:
         port = listener.getsockname()[1]
 
-    class Nobody:
+    class ClosedPort:
         address = f"127.0.0.1:{port}"
 
-    context.server = Nobody
+    context.server = ClosedPort
 
 
 @when("{count:d} attempts are made, each after the connection was closed")
--- a/features/attempts/steps/rule_steps.py
+++ b/features/attempts/steps/rule_steps.py
@@ -1,5 +1,5 @@
 from behave import given, then, when
-from claim_steps import word_of
+from claim_steps import describe
 
 from knapweedbridge_core.configuration import KeyEntry, build
 from knapweedbridge_core.outcomes import Complete
@@ -39,8 +39,8 @@
     context.catalogue = Catalogue(configuration, key)
 
 
-@when('"{call}" is judged')
-def judged(context, call):
+@when('the rules are applied to "{call}"')
+def apply_rules(context, call):
     word, name = call.split()
     catalogue = context.catalogue
     if word == "model":
@@ -57,32 +57,36 @@
     assert found.without_key == without, found
 
 
-@when('a receipt without a key comes to host-0 under "{without}"')
+@when('a request without a key is sent through host-0 under "{without}"')
 def without_key(context, without):
-    world = context.world
-    context.asked_s = world.now_s
-    world.ask("first", "host-0", "", without_key=WithoutKey(without))
+    deployment = context.deployment
+    context.asked_s = deployment.now_s
+    deployment.send_request("first", "host-0", "", without_key=WithoutKey(without))
 
 
-@then('it is told "{told}" within {within:g} s, and it ran {runs:d} times')
-def told_within(context, told, within, runs):
-    world = context.world
-    world.run_until(context.asked_s + within)
-    assert word_of(world.told.get("first")) == told, world.told
-    world.store = "up"
-    world.run_until(world.now_s + 20)
-    assert world.runs["first"] == runs, world.runs
+@then('it gets "{told}" within {within:g} s, and it ran {runs:d} times')
+def outcome_within(context, told, within, runs):
+    deployment = context.deployment
+    deployment.run_until(context.asked_s + within)
+    assert describe(deployment.outcomes.get("first")) == told, deployment.outcomes
+    deployment.store = "up"
+    deployment.run_until(deployment.now_s + 20)
+    assert deployment.runs["first"] == runs, deployment.runs
 
 
-@when('two equal receipts without a key come under "{without}"')
+@when('two equal requests without a key arrive under "{without}"')
 def two_without_key(context, without):
     for name in ("first", "second"):
-        context.world.ask(name, "host-0", "", without_key=WithoutKey(without))
-    context.world.run_until(context.world.now_s + 5)
+        context.deployment.send_request(
+            name, "host-0", "", without_key=WithoutKey(without)
+        )
+    context.deployment.run_until(context.deployment.now_s + 5)
 
 
 @then("both are answered, and both ran")
 def both_ran(context):
-    world = context.world
-    assert world.runs == {"first": 1, "second": 1}, world.runs
-    assert all(isinstance(told, Complete) for told in world.told.values())
+    deployment = context.deployment
+    assert deployment.runs == {"first": 1, "second": 1}, deployment.runs
+    assert all(
+        isinstance(outcome, Complete) for outcome in deployment.outcomes.values()
+    )
--- a/features/attempts/steps/stream_steps.py
+++ b/features/attempts/steps/stream_steps.py
@@ -9,7 +9,7 @@
 
 HEADERS = {"authorization": f"Bearer {CALLER_KEY}"}
 TOKENS = 60
-BREAK_AT = 10
+BREAK_AT_EVENT = 10
 PROMPT = iter(f"prompt {place}" for place in range(10_000))
 
 
@@ -18,7 +18,7 @@
     context.platform = context.shared.start().runner.platform
     context.proxy = context.shared.proxy
     context.model = context.platform.example.model(0)
-    assert run(context, ask(context, lambda events: None)) == "whole"
+    assert run(context, send_request(context, lambda events: None)) == "whole"
     context.runs = runs_of(context)
 
 
@@ -26,8 +26,8 @@
     return context.shared.runner.run(work)
 
 
-async def ask(context, at_event, streamed=True, tokens=TOKENS, leave_at=None):
-    """Ask, tell of each event, and return how the answer ended."""
+async def send_request(context, at_event, streamed=True, tokens=TOKENS, leave_at=None):
+    """Send a request, call `at_event` for each event, and return how it ended."""
     platform = context.platform
     context.prompt = next(PROMPT)
     body = {"model": context.model, "prompt": context.prompt}
@@ -54,13 +54,13 @@
                     return "an error event"
                 text += event["choices"][0]["text"]
                 events += 1
-                await settle(at_event(events))
+                await await_if_given(at_event(events))
                 if events == leave_at:
                     return "left"
     return f"a clean end after {events} of {tokens}"
 
 
-async def settle(work):
+async def await_if_given(work):
     if work is not None:
         await work
 
@@ -80,11 +80,11 @@
     }
 
     def at_event(events):
-        if events == BREAK_AT:
+        if events == BREAK_AT_EVENT:
             return breaks[broken]()
         return None
 
-    context.ended = run(context, ask(context, at_event))
+    context.ended = run(context, send_request(context, at_event))
     if "refused" in broken:
         run(context, context.proxy.start())
 
@@ -92,13 +92,15 @@
 @when("its idle connections went silent before a {form} request")
 def silent_before(context, form):
     context.proxy.silence()
-    work = ask(context, lambda events: None, streamed=form == "streamed")
+    work = send_request(context, lambda events: None, streamed=form == "streamed")
     context.ended = run(context, work)
 
 
-@when("the caller goes away in the middle of a long stream")
-def caller_leaves(context):
-    work = ask(context, lambda events: None, tokens=2000, leave_at=BREAK_AT)
+@when("the caller disconnects in the middle of a long stream")
+def caller_disconnects(context):
+    work = send_request(
+        context, lambda events: None, tokens=2000, leave_at=BREAK_AT_EVENT
+    )
     context.ended = run(context, work)
 
 
@@ -117,19 +119,19 @@
     return sum(context.platform.engines[0].runs.values())
 
 
-@then("the error tells that it may have run")
-def error_tells(context):
+@then("the error says that it may have run")
+def error_says(context):
     assert context.error["run"] == "unknown", context.error
 
 
-@then("the engine runs nothing and the place is free")
+@then("the engine runs nothing and the slot is free")
 def nothing_runs(context):
     platform = context.platform
     run(context, until(lambda: not platform.engines[0].work.running))
-    run(context, until_free(context))
+    run(context, until_slot_free(context))
 
 
-async def until_free(context):
+async def until_slot_free(context):
     url = f"http://{context.platform.example.administration(0)}/v1/endpoints"
     headers = {"authorization": f"Bearer {ADMINISTRATOR_KEY}"}
     async with httpx.AsyncClient(headers=headers, trust_env=False) as client:
--- a/features/overload/admission.feature
+++ b/features/overload/admission.feature
@@ -1,9 +1,9 @@
 Feature: Limits and overload
-  A host takes no more than can be answered in time, and the counter goes first.
+  A host admits only what can be answered in time, and interactive requests go first.
 
   Scenario Outline: Twice as many requests as the engines can serve, <admission>
-    A customer waits at the counter. All requests wait in one line in the engines,
-    overnight summaries before counter look-ups, and most answers come too late.
+    Interactive requests time out. All requests wait in one queue in the engines, batch
+    requests ahead of interactive ones, and most answers come too late.
 
     When twice the capacity is offered with "<admission>"
     Then goodput is <goodput> of the capacity
@@ -14,25 +14,25 @@
       | first come first served | under 90%     | less than 10%  |
       | admission               | at least 90%  | at least 99%   |
 
-  Scenario: No hopeless request is held back at twice the capacity
-    Callers hear only near their deadline that they must come back, though their
-    daemon could have told them seconds before.
+  Scenario: Infeasible requests are refused at once at twice the capacity
+    Callers learn only near their deadline that they must retry later, although their
+    daemon could have refused them seconds before.
 
     When twice the capacity is offered with "admission"
-    Then no refused request was hopeless for longer than a tick
+    Then no refused request was infeasible for longer than a tick
 
   Scenario: One team sends ten times as much as another of the same share
     Given a queue in which "optics" waits with 100 requests and "harbour" with 10
-    When 20 requests are taken
+    When 20 requests are popped
     Then 10 of them are of "harbour"
 
-  Scenario Outline: A waiting request becomes hopeless through <burst> more urgent ones
-    A caller waits nearly its whole deadline to be told to come back. Look-ups that
-    came after its request took all places that it could have had, and the daemon
+  Scenario Outline: A waiting request becomes infeasible through <burst> more urgent ones
+    A caller waits nearly until its deadline before it is refused. Interactive requests
+    that arrived later took all the capacity that it could have had, and the daemon
     refused it only when there was no time left to run it.
 
-    Given a daemon on which requests of 1 s fill all places
-    When a "normal" request within 4 s waits, then <burst> look-ups
+    Given a daemon at its concurrency limit with requests of 1 s
+    When a "normal" request within 4 s waits, then <burst> interactive ones arrive
     Then the waiting request is <end>
 
     Examples:
@@ -40,19 +40,19 @@
       | 30    | refused in the event of the burst |
       | 2     | answered                          |
 
-  Scenario: A request that cannot make its deadline is refused at its arrival
-    Given a daemon on which requests of 1 s fill all places
-    When 30 look-ups wait, and a "normal" request within 4 s arrives
+  Scenario: A request that cannot meet its deadline is refused on arrival
+    Given a daemon at its concurrency limit with requests of 1 s
+    When 30 interactive requests wait, and a "normal" request within 4 s arrives
     Then that request is refused in the event of its arrival
 
-  Scenario: Priorities go before the order of arrival
+  Scenario: Priority goes before the order of arrival
     Given a queue with one "batch", one "normal" and one "interactive" request
-    Then they are taken as "interactive normal batch"
+    Then they are popped as "interactive normal batch"
 
-  Scenario Outline: A key has its limit, in parts over the daemons
+  Scenario Outline: The limit of a key is divided among the daemons
     Given a key with <rate> requests a second and <daemons> daemons
     When it sends <sent> requests in one second to one of them
-    Then <taken> are taken, and the others are told when to come back
+    Then <taken> are admitted, and the others are told when to retry
 
     Examples:
       | rate | daemons | sent | taken |
--- a/features/overload/steps/admission_steps.py
+++ b/features/overload/steps/admission_steps.py
@@ -6,7 +6,7 @@
 from knapweedbridge_core.outcomes import Complete, NotRun, Reason
 from knapweedbridge_standins.virtual_pool import TICK_S
 
-STEP_S = 0.02
+REQUEST_INTERVAL_S = 0.02
 
 
 @when('twice the capacity is offered with "{admission}"')
@@ -20,12 +20,12 @@
 
 
 @then("{bound} {percent:d}% of the interactive requests are answered in time")
-def interactive(context, bound, percent):
+def interactive_answered(context, bound, percent):
     _compare(context.found.answered["interactive"], bound, percent)
 
 
-@then("no refused request was hopeless for longer than a tick")
-def held_back(context):
+@then("no refused request was infeasible for longer than a tick")
+def infeasible(context):
     assert context.found.held_back_longest_s <= TICK_S, context.found
 
 
@@ -49,14 +49,14 @@
             context.queue.add(model)
 
 
-@when("{count:d} requests are taken")
-def take(context, count):
-    context.taken = [context.queue.pop({}) for _ in range(count)]
+@when("{count:d} requests are popped")
+def pop(context, count):
+    context.popped = [context.queue.pop({}) for _ in range(count)]
 
 
 @then('{count:d} of them are of "{team}"')
 def of_team(context, count, team):
-    found = sum(request.team == team for request in context.taken)
+    found = sum(request.team == team for request in context.popped)
     assert found == count, found
 
 
@@ -67,10 +67,10 @@
         context.queue.add(_request(priority, priority=priority))
 
 
-@then('they are taken as "{order}"')
-def taken_as(context, order):
-    taken = [context.queue.pop({}).priority for _ in order.split()]
-    assert " ".join(taken) == order, taken
+@then('they are popped as "{order}"')
+def popped_as(context, order):
+    popped = [context.queue.pop({}).priority for _ in order.split()]
+    assert " ".join(popped) == order, popped
 
 
 @given("a key with {rate:d} requests a second and {daemons:d} daemons")
@@ -84,17 +84,20 @@
 def sends(context, sent):
     limits, request = Limits(), _request("r")
     context.waits = [
-        limits.wait_s(
-            request, context.configuration, context.daemons, 100.0 + place * STEP_S
+        limits.acquire(
+            request,
+            context.configuration,
+            context.daemons,
+            100.0 + number * REQUEST_INTERVAL_S,
         )
-        for place in range(sent)
+        for number in range(sent)
     ]
 
 
-@then("{taken:d} are taken, and the others are told when to come back")
-def taken(context, taken):
+@then("{admitted:d} are admitted, and the others are told when to retry")
+def admitted(context, admitted):
     found = sum(wait_s == 0 for wait_s in context.waits)
-    assert found == taken, found
+    assert found == admitted, found
 
 
 def _ask(context, name, **wanted):
@@ -102,33 +105,39 @@
     context.pool.ask("host-0", request)
 
 
-def _look_ups(context, count):
-    for place in range(count):
-        _ask(context, f"look-up-{place}", priority="interactive")
+def _ask_interactive(context, count):
+    for number in range(count):
+        _ask(context, f"interactive-{number}", priority="interactive")
     context.burst_s = context.pool.clock.now_s
 
 
-@given("a daemon on which requests of 1 s fill all places")
-def filled(context):
+@given("a daemon at its concurrency limit with requests of 1 s")
+def at_limit(context):
     context.pool = make_pool(1, 1, batch=2)
     context.pool.clock.run(5.0)
     for round_ in range(2):
-        for place in range(3):
-            _ask(context, f"filling-{round_}-{place}")
+        for number in range(3):
+            _ask(context, f"filling-{round_}-{number}")
         context.pool.clock.run(2.5 if round_ == 0 else 0.1)
 
 
-@when('a "{priority}" request within {within:d} s waits, then {n:d} look-ups')
-def pushed_out(context, priority, within, n):
+@when(
+    'a "{priority}" request within {within:d} s waits, '
+    "then {n:d} interactive ones arrive"
+)
+def overtaken(context, priority, within, n):
     _ask(context, "waiting", priority=priority, within_s=float(within))
     context.pool.clock.run(0.3)
-    _look_ups(context, n)
+    _ask_interactive(context, n)
     context.pool.clock.run(60.0)
 
 
-@when('{n:d} look-ups wait, and a "{priority}" request within {within:d} s arrives')
+@when(
+    "{n:d} interactive requests wait, "
+    'and a "{priority}" request within {within:d} s arrives'
+)
 def too_late(context, n, priority, within):
-    _look_ups(context, n)
+    _ask_interactive(context, n)
     _ask(context, "waiting", priority=priority, within_s=float(within))
     context.pool.clock.run(60.0)
 
--- a/features/overload/steps/blame_steps.py
+++ b/features/overload/steps/blame_steps.py
@@ -14,7 +14,7 @@
 from knapweedbridge_core.suspects import SuspectTable, Verdict
 
 
-@when('a request that crashes engines runs beside {count:d} others with "{blame}"')
+@when('a request that crashes engines runs beside {count:d} others with "{suspects}"')
 def crashing(context, count, suspects):
     context.found = run_crashing(BLAMES[suspects], innocents=count)
 
@@ -60,7 +60,7 @@
     context.pool.clock.run(0.1)
 
 
-@when("its stream breaks {times:d} times while the engine lives on")
+@when("its stream breaks {times:d} times while the engine keeps running")
 def break_streams(context, times):
     for _ in range(times):
         for engine in context.pool.engines.values():
@@ -69,8 +69,8 @@
         context.pool.clock.run(0.4)
 
 
-@then("nobody is suspected")
-def nobody_suspected(context):
+@then("nothing is suspected")
+def nothing_suspected(context):
     for bridge in context.pool.bridges.values():
         assert len(bridge.suspects) == 0, list(bridge.suspects.entries())
 
@@ -84,8 +84,8 @@
     assert lost == 2, lost
 
 
-@when("a daemon forgets all, and its peers link to it again")
-def forget(context):
+@when("a daemon loses its table, and its peers connect to it again")
+def lose_table(context):
     bridge = context.pool.bridges["host-2"]
     bridge.suspects.clear("crash")
     for peer in ("host-0", "host-1"):
@@ -115,34 +115,37 @@
     assert context.pool.dispatches > before
 
 
-@given("an empty table of blame")
+@given("an empty table of suspects")
 def table(context):
     context.suspects = SuspectTable()
 
 
-@when('losses of "{first}" and "{second}" are told of "{fingerprint}" and never proved')
-def told(context, first, second, fingerprint):
+@when(
+    'losses of "{first}" and "{second}" are suspected for "{fingerprint}" '
+    "and never proved"
+)
+def suspect_losses(context, first, second, fingerprint):
     context.suspects.suspect(fingerprint, "a.1", first, 100.0)
     context.suspects.suspect(fingerprint, "b.1", second, 100.0)
 
 
-@then('"{fingerprint}" is judged "{verdict}" at first')
-def judged_first(context, fingerprint, verdict):
+@then('the verdict on "{fingerprint}" is "{verdict}" at first')
+def verdict_first(context, fingerprint, verdict):
     assert context.suspects.judge(fingerprint, 100.0) is Verdict(verdict)
 
 
-@then('"{fingerprint}" is judged "{verdict}" after {seconds:d} seconds')
-def judged_after(context, fingerprint, verdict, seconds):
+@then('the verdict on "{fingerprint}" is "{verdict}" after {seconds:d} seconds')
+def verdict_after(context, fingerprint, verdict, seconds):
     assert context.suspects.judge(fingerprint, 100.0 + seconds) is Verdict(verdict)
 
 
 @when('{count:d} fingerprints are suspected after "{fingerprint}" lost two endpoints')
 def many(context, count, fingerprint):
-    told(context, "e0", "e1", fingerprint)
+    suspect_losses(context, "e0", "e1", fingerprint)
     for loss_id in ("a.1", "b.1"):
         context.suspects.confirm(fingerprint, loss_id)
-    for place in range(count):
-        context.suspects.suspect(f"f{place}", f"a.{place}", "e0", 101.0)
+    for number in range(count):
+        context.suspects.suspect(f"f{number}", f"a.{number}", "e0", 101.0)
 
 
 @then("the table holds {count:d} entries")
@@ -150,9 +153,9 @@
     assert len(context.suspects) == count
 
 
-@then('"{fingerprint}" is judged "{verdict}" at once')
-def judged_now(context, fingerprint, verdict):
-    judged_first(context, fingerprint, verdict)
+@then('the verdict on "{fingerprint}" is "{verdict}" at once')
+def verdict_now(context, fingerprint, verdict):
+    verdict_first(context, fingerprint, verdict)
 
 
 @when("{runs:d} runs with a crashing request and seeded restarts are fuzzed")
--- a/features/overload/steps/leaving_steps.py
+++ b/features/overload/steps/leaving_steps.py
@@ -17,7 +17,7 @@
 
 @when('an engine leaves by "{sign}" with "{daemons}"')
 def leaves(context, sign, daemons):
-    context.found = run_leaving(sign, signs=daemons == "signs")
+    context.found = run_leaving(sign, signs=daemons == "signals")
 
 
 @then("the engine got its last request after more than {seconds:d} s")
@@ -36,7 +36,9 @@
     assert (found.complete == found.requests) == (which == "all"), found
 
 
-@when("the engine says that it leaves, and {seconds:d} seconds later that it stays")
+@when(
+    "the engine announces that it leaves, and {seconds:d} seconds later that it stays"
+)
 def leaves_and_stays(context, seconds):
     engine = context.pool.engines["draft-0"]
     engine.leaving = True
@@ -58,13 +60,13 @@
 def attempt_ends(context, host, reason):
     request = request_of(context.pool, "r1", fingerprint="f")
     outcome = NotRun(Reason(reason))
-    judged = events.AttemptResult(request, "r1.1", "draft-0", outcome)
-    context.pool.tell(host, judged)
+    result = events.AttemptResult(request, "r1.1", "draft-0", outcome)
+    context.pool.tell(host, result)
     context.pool.clock.run(0.1)
 
 
-@then("no daemon holds that the engine leaves")
-def nobody_holds(context):
+@then("no daemon lists the engine as leaving")
+def not_leaving(context):
     for bridge in context.pool.bridges.values():
         assert "draft-0" not in bridge._context.leaving
 
@@ -107,17 +109,17 @@
         return f"127.0.0.1:{held.getsockname()[1]}"
 
 
-def _run_quietly(context, work):
-    """Run, and keep what the event loop and the libraries write of errors."""
-    written = io.StringIO()
-    handler = logging.StreamHandler(written)
+def _run_captured(context, work):
+    """Run `work`, and capture the errors that the event loop logs."""
+    logged = io.StringIO()
+    handler = logging.StreamHandler(logged)
     logger = logging.getLogger("asyncio")
     logger.addHandler(handler)
     try:
         asyncio.run(work())
     finally:
         logger.removeHandler(handler)
-    context.written = written.getvalue()
+    context.logged = logged.getvalue()
 
 
 @when("a web server with a stream of {stream_s:g} s is {case}")
@@ -140,7 +142,7 @@
                 tasks.cancel_scope.cancel()
             stop.set()
 
-    _run_quietly(context, work)
+    _run_captured(context, work)
     context.stream = read["stream"]
 
 
@@ -159,13 +161,13 @@
     assert context.stream == stream, context.stream
 
 
-@then("nothing was written about errors")
-def nothing_written(context):
-    assert context.written == "", context.written
+@then("no errors were logged")
+def no_errors(context):
+    assert context.logged == "", context.logged
 
 
 class FakeDriver:
-    """What a drain needs of a driver."""
+    """The parts of a driver that a drain uses."""
 
     class bridge:  # noqa: N801
         ledgers = {}
@@ -192,21 +194,21 @@
     async def run():
         drain = Drain(FakeDriver(), DrainBounds(GRACE_S, 5.0))
         context.drain = drain
-        face = drain.face(_stream_of(stream_s))
+        app = drain.face(_stream_of(stream_s))
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(drain.run)
             config = make_config(address, 10)
-            async with anyio.create_task_group() as faces:
-                faces.start_soon(serve_until, face, config, drain.closed)
+            async with anyio.create_task_group() as servers:
+                servers.start_soon(serve_until, app, config, drain.closed)
                 await _await_listener(address)
                 await work(drain, address)
             tasks.cancel_scope.cancel()
 
-    _run_quietly(context, run)
+    _run_captured(context, run)
 
 
-@given("a face that drains")
-def face_drains(context):
+@given("a server that drains")
+def server_drains(context):
     context.health, context.served = [], None
 
     async def work(drain, address):
@@ -225,13 +227,13 @@
     assert context.health == [before, after], context.health
 
 
-@then("while it drains a call is served, and its connection is closed")
+@then("while it drains a request is served, and its connection is closed")
 def served(context):
     assert context.served.text == "xx", context.served.text
     assert context.served.headers["connection"] == "close"
 
 
-@given("a face that drains with an open stream")
+@given("a server that drains with an open stream")
 def open_stream(context):
     context.stream_s = 30
 
--- a/packages/core/src/knapweedbridge_core/claim_coordinator.py
+++ b/packages/core/src/knapweedbridge_core/claim_coordinator.py
@@ -1,4 +1,4 @@
-"""The claim keeper: writes the claims of a data centre, many in one write."""
+"""Coordinator of the claims of a data centre, which writes many in one transaction."""
 
 from dataclasses import dataclass
 
@@ -7,15 +7,15 @@
 from knapweedbridge_core.claims import ClaimRecord, ClaimState, unpack_record
 from knapweedbridge_core.context import Context, Handler, Side
 
-WRITE_EVERY_S = 0.2
-BATCH_CLAIMS = 128
-MAX_WAITING = 10_000
-REPLY_TIMEOUT_S = 10.0
+WRITE_INTERVAL_S = 0.2
+MAX_BATCH_CLAIMS = 128
+MAX_PENDING = 10_000
+STORE_TIMEOUT_S = 10.0
 
 
 @dataclass(slots=True)
-class _Wish:
-    """One claim to be made or ended.
+class _Change:
+    """A claim to be made or ended.
 
     Parameters
     ----------
@@ -24,11 +24,11 @@
     packed : bytes
         The record to be written.
     host : str
-        Who asked, and is answered.
+        Host that sent the request and receives the response.
     ends : bool
         Whether it ends a claim.
     revision : int or None
-        Revision that the key must have; None: to be read first.
+        Revision that the key must have; None if it has to be read first.
     """
 
     key: str
@@ -40,138 +40,140 @@
 
 
 class ClaimCoordinator(Side):
-    """Gathers claims while a write is under way, and writes them together.
+    """Collects changes of claims while a write is in progress, and writes them as one.
 
-    A write that fails, and one whose reply was lost, are settled alike: all its
-    keys are read back, and the token in each tells whose claim stands.
+    A write that fails and one whose response is lost are handled alike: all of its keys
+    are read back, and the token in each tells whose claim is stored.
     """
 
     def __init__(self, context: Context) -> None:
         super().__init__(context)
-        self._waiting: dict[tuple[str, str, bool], _Wish] = {}
-        self._batch: list[_Wish] = []
+        self._pending: dict[tuple[str, str, bool], _Change] = {}
+        self._batch: list[_Change] = []
         self._token = ""
         self._count = 0
-        self._began_s = -REPLY_TIMEOUT_S
-        self._wrote_s = -WRITE_EVERY_S
-        self._timed = False
+        self._called_s = -STORE_TIMEOUT_S
+        self._written_s = -WRITE_INTERVAL_S
+        self._has_timer = False
 
     def handlers(self) -> dict[type, Handler]:
         """See `Side.handlers`."""
         return {
             events.Tick: self._tick,
-            events.ClaimsDue: self._due,
-            events.StoreResponse: self._replied,
-            messages.ClaimRequest: self._asked,
-            messages.ClaimEnded: self._ended,
+            events.ClaimsDue: self._timer_fired,
+            events.StoreResponse: self._store_responded,
+            messages.ClaimRequest: self._claim_requested,
+            messages.ClaimEnded: self._claim_ended,
         }
 
-    def _asked(self, message: messages.ClaimRequest) -> None:
+    def _claim_requested(self, message: messages.ClaimRequest) -> None:
         self._add(message.key, message.token, message.record, False)
 
-    def _ended(self, message: messages.ClaimEnded) -> None:
-        # Its ask may still wait here; made after its end it would stand for ever.
-        self._waiting.pop((message.key, message.token, False), None)
+    def _claim_ended(self, message: messages.ClaimEnded) -> None:
+        # The request for the claim may still be pending. Written after the end of the
+        # claim, it would leave the claim open for ever.
+        self._pending.pop((message.key, message.token, False), None)
         self._add(message.key, message.token, message.record, True)
 
     def _add(self, key: str, token: str, packed: bytes, ends: bool) -> None:
-        named = (key, token, ends)
-        under_way = any(
-            (wish.key, wish.token, wish.ends) == named for wish in self._batch
+        identity = (key, token, ends)
+        in_batch = any(
+            (change.key, change.token, change.ends) == identity
+            for change in self._batch
         )
-        if named in self._waiting or under_way or len(self._waiting) >= MAX_WAITING:
+        if identity in self._pending or in_batch or len(self._pending) >= MAX_PENDING:
             return
         revision = None if ends else 0
         host = self._context.sender
-        self._waiting[named] = _Wish(key, token, packed, host, ends, revision)
-        self._start()
+        self._pending[identity] = _Change(key, token, packed, host, ends, revision)
+        self._start_batch()
 
     def _tick(self, event: events.Tick) -> None:
-        # The reply to a call may never come: its keys are read back.
-        if self._batch and self._context.now_s - self._began_s > REPLY_TIMEOUT_S:
-            self._wait_again()
-        self._start()
+        # A call without a response is treated as failed: its keys are read back.
+        if self._batch and self._context.now_s - self._called_s > STORE_TIMEOUT_S:
+            self._requeue_batch()
+        self._start_batch()
 
-    def _due(self, event: events.ClaimsDue) -> None:
-        self._timed = False
-        self._start()
+    def _timer_fired(self, event: events.ClaimsDue) -> None:
+        self._has_timer = False
+        self._start_batch()
 
-    def _start(self) -> None:
-        if self._batch or not self._waiting or self._timed:
+    def _start_batch(self) -> None:
+        if self._batch or not self._pending or self._has_timer:
             return
-        left_s = self._wrote_s + WRITE_EVERY_S - self._context.now_s
+        left_s = self._written_s + WRITE_INTERVAL_S - self._context.now_s
         if left_s > 0:
-            self._timed = True
+            self._has_timer = True
             self._context.emit(ClaimTimer(left_s))
             return
         keys: set[str] = set()
-        for named, wish in list(self._waiting.items()):
-            if wish.key not in keys and len(self._batch) < BATCH_CLAIMS:
-                keys.add(wish.key)
-                self._batch.append(self._waiting.pop(named))
-        self._wrote_s = self._context.now_s
-        self._next_call()
-
-    def _next_call(self) -> None:
+        for identity, change in list(self._pending.items()):
+            if change.key not in keys and len(self._batch) < MAX_BATCH_CLAIMS:
+                keys.add(change.key)
+                self._batch.append(self._pending.pop(identity))
+        self._written_s = self._context.now_s
+        self._call_store()
+
+    def _call_store(self) -> None:
         self._count += 1
-        self._began_s = self._context.now_s
-        unread = tuple(wish.key for wish in self._batch if wish.revision is None)
+        self._called_s = self._context.now_s
+        unread = tuple(change.key for change in self._batch if change.revision is None)
         if unread:
             self._token = f"claims-read:{self._count}"
             self._context.emit(StoreRead(self._token, unread))
             return
         self._token = f"claims-write:{self._count}"
-        compares = {wish.key: wish.revision or 0 for wish in self._batch}
-        puts = {wish.key: wish.packed for wish in self._batch}
+        compares = {change.key: change.revision or 0 for change in self._batch}
+        puts = {change.key: change.packed for change in self._batch}
         self._context.emit(Count("claim.writes"))
         self._context.emit(Count("claim.written", len(puts)))
         self._context.emit(ClaimWrite(self._token, compares, puts))
 
-    def _replied(self, event: events.StoreResponse) -> None:
+    def _store_responded(self, event: events.StoreResponse) -> None:
         if event.token != self._token or not self._batch:
             return
         reading = event.token.startswith("claims-read")
         if reading and event.known:
-            self._read(event.values)
+            self._apply_read(event.values)
         elif not reading and event.known and event.applied:
-            for wish in self._batch:
-                self._tell(wish, wish.packed)
+            for change in self._batch:
+                self._respond(change, change.packed)
             self._batch = []
         else:
-            self._wait_again()
-        self._start()
+            self._requeue_batch()
+        self._start_batch()
 
-    def _wait_again(self) -> None:
-        for wish in self._batch:
-            wish.revision = None
-            self._waiting[wish.key, wish.token, wish.ends] = wish
+    def _requeue_batch(self) -> None:
+        for change in self._batch:
+            change.revision = None
+            self._pending[change.key, change.token, change.ends] = change
         self._batch = []
 
-    def _read(self, values: dict[str, tuple[bytes, int]]) -> None:
-        for wish in list(self._batch):
-            if wish.revision is not None:
+    def _apply_read(self, values: dict[str, tuple[bytes, int]]) -> None:
+        for change in list(self._batch):
+            if change.revision is not None:
                 continue
-            packed, wish.revision = values.get(wish.key, (b"", 0))
-            found = unpack_record(packed) if packed else None
-            if found is not None and self._is_settled(wish, found):
-                self._batch.remove(wish)
-                self._tell(wish, packed)
+            packed, change.revision = values.get(change.key, (b"", 0))
+            stored = unpack_record(packed) if packed else None
+            if stored is not None and self._is_settled(change, stored):
+                self._batch.remove(change)
+                self._respond(change, packed)
         if self._batch:
-            self._next_call()
+            self._call_store()
 
     @staticmethod
-    def _is_settled(wish: _Wish, found: ClaimRecord) -> bool:
-        ours = found.token == wish.token
-        if wish.ends:
-            # Ours and ended already, or another's since: nothing to write.
-            return not ours or found.state != ClaimState.OPEN
-        return ours or found.state != ClaimState.RELEASED
-
-    def _tell(self, wish: _Wish, packed: bytes) -> None:
-        if wish.ends:
-            self._context.send(wish.host, messages.ClaimEndStored(wish.token))
+    def _is_settled(change: _Change, stored: ClaimRecord) -> bool:
+        ours = stored.token == change.token
+        if change.ends:
+            # The claim has already ended, or another one replaced it: nothing to write.
+            return not ours or stored.state != ClaimState.OPEN
+        return ours or stored.state != ClaimState.RELEASED
+
+    def _respond(self, change: _Change, packed: bytes) -> None:
+        if change.ends:
+            self._context.send(change.host, messages.ClaimEndStored(change.token))
             return
         if unpack_record(packed).state == ClaimState.RELEASED:
             return
-        answered = messages.ClaimResponse(wish.token, packed)
-        self._context.send(wish.host, answered)
+        response = messages.ClaimResponse(change.token, packed)
+        self._context.send(change.host, response)
--- a/packages/core/src/knapweedbridge_core/claim_messages.py
+++ b/packages/core/src/knapweedbridge_core/claim_messages.py
@@ -1,11 +1,11 @@
-"""Messages between a caller's daemon and the claim keeper."""
+"""Messages between a caller's daemon and the coordinator of claims."""
 
 from knapweedbridge_core.codec import message
 
 
 @message(tag="ClaimAsk")
 class ClaimRequest:
-    """A caller's daemon asks the claim keeper to make a claim."""
+    """Asks the coordinator to store a claim."""
 
     key: str
     token: str
@@ -14,7 +14,7 @@
 
 @message(tag="ClaimAnswered")
 class ClaimResponse:
-    """The record that stands; ours if it has the token asked with."""
+    """The stored record, which is the requester's own if it has the token sent."""
 
     token: str
     record: bytes
@@ -22,7 +22,7 @@
 
 @message
 class ClaimEnded:
-    """A request under a claim ended; the record says how."""
+    """Asks the coordinator to store how a claimed request ended."""
 
     key: str
     token: str
--- a/packages/core/src/knapweedbridge_core/claimant_side.py
+++ b/packages/core/src/knapweedbridge_core/claimant_side.py
@@ -1,4 +1,4 @@
-"""The claimant: asks for claims before dispatch, and tells how they ended."""
+"""Claims requests that may run only once before dispatch, and ends the claims."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -16,7 +16,7 @@
 from knapweedbridge_core.events import Request
 from knapweedbridge_core.outcomes import Complete, FinalOutcome, NotRun, Reason
 
-ASK_AGAIN_S = 0.5
+RESEND_INTERVAL_S = 0.5
 CLAIM_TIMEOUT_S = 2.0
 STORE_RETRY_AFTER_S = 5.0
 
@@ -26,7 +26,7 @@
     request: Request
     token: str
     since_s: float
-    asked_s: float
+    sent_s: float
     held: bool = False
 
 
@@ -37,9 +37,9 @@
 
 
 class ClaimantSide(Side):
-    """Owns the claims of the requests that callers sent to this daemon.
+    """Holds the claims of the requests that callers sent to this daemon.
 
-    The request side sets `on_claimed` and `on_refused`, and is told by them.
+    The request side sets the callbacks `on_claimed` and `on_refused`.
     """
 
     def __init__(self, context: Context) -> None:
@@ -53,20 +53,20 @@
         """See `Side.handlers`."""
         return {
             events.Tick: self._tick,
-            messages.ClaimResponse: self._answered,
-            messages.ClaimEndStored: self._end_kept,
+            messages.ClaimResponse: self._claim_responded,
+            messages.ClaimEndStored: self._end_stored,
         }
 
     def begin(self, request: Request) -> None:
-        """Ask for the claim of a request that may run only once."""
+        """Request the claim of a request that may run only once."""
         now_s = self._context.now_s
         token = f"{self._context.host}/{self._context.incarnation}/{request.request_id}"
         claim = _Claim(request, token, now_s, now_s)
         self._claims[request.request_id] = claim
-        self._ask(claim)
+        self._send_request(claim)
 
     def end(self, request_id: str, outcome: FinalOutcome) -> None:
-        """Record how a request ended whose claim was asked for here."""
+        """Record how a request ended whose claim was requested here."""
         claim = self._claims.pop(request_id, None)
         if claim is None:
             return
@@ -82,25 +82,25 @@
             claim_key(claim.request), claim.token, record.pack()
         )
         self._endings[claim.token] = _Ending(ended, self._context.now_s)
-        self._tell_keeper(ended)
+        self._send_to_coordinator(ended)
 
-    def _keeper(self) -> str:
+    def _coordinator(self) -> str:
         members = self._context.members
         names = members.available(self._context.data_centre)
         return rendezvous.choose("claims", names) or self._context.host
 
-    def _tell_keeper(self, message: object) -> None:
-        self._context.send(self._keeper(), message)
+    def _send_to_coordinator(self, message: object) -> None:
+        self._context.send(self._coordinator(), message)
 
-    def _ask(self, claim: _Claim) -> None:
-        claim.asked_s = self._context.now_s
+    def _send_request(self, claim: _Claim) -> None:
+        claim.sent_s = self._context.now_s
         record = ClaimRecord(
             claim.token, self._context.host, claim.request.fingerprint, ClaimState.OPEN
         )
-        asked = messages.ClaimRequest(
+        message = messages.ClaimRequest(
             claim_key(claim.request), claim.token, record.pack()
         )
-        self._tell_keeper(asked)
+        self._send_to_coordinator(message)
 
     def _tick(self, event: events.Tick) -> None:
         now_s = self._context.now_s
@@ -108,18 +108,18 @@
             if claim.held:
                 continue
             if now_s - claim.since_s >= CLAIM_TIMEOUT_S:
-                # Nothing was dispatched, so this is proved; `end` releases the
-                # claim, should a write of it have taken effect unseen.
+                # Nothing was dispatched, which proves that the request did not run. The
+                # claim may have been written without a response: `end` releases it.
                 outcome = NotRun(Reason.STORE_DOWN, STORE_RETRY_AFTER_S)
                 self.on_refused(request_id, outcome)
-            elif now_s - claim.asked_s >= ASK_AGAIN_S:
-                self._ask(claim)
+            elif now_s - claim.sent_s >= RESEND_INTERVAL_S:
+                self._send_request(claim)
         for ending in list(self._endings.values()):
-            if now_s - ending.sent_s >= ASK_AGAIN_S:
+            if now_s - ending.sent_s >= RESEND_INTERVAL_S:
                 ending.sent_s = now_s
-                self._tell_keeper(ending.message)
+                self._send_to_coordinator(ending.message)
 
-    def _answered(self, message: messages.ClaimResponse) -> None:
+    def _claim_responded(self, message: messages.ClaimResponse) -> None:
         request_id = message.token.rpartition("/")[2]
         claim = self._claims.get(request_id)
         if claim is None or claim.token != message.token or claim.held:
@@ -129,13 +129,13 @@
             claim.held = True
             self.on_claimed(request_id)
             return
-        # Another's claim: there is nothing of ours to end.
+        # The stored claim is another request's: there is none of this one to end.
         del self._claims[request_id]
-        lives = self._lives(record)
-        self.on_refused(request_id, repeat_outcome(record, claim.request, lives))
+        alive = self._is_holder_alive(record)
+        self.on_refused(request_id, repeat_outcome(record, claim.request, alive))
 
-    def _lives(self, record: ClaimRecord) -> bool:
-        # A host that started anew knows nothing of the claims of its last life.
+    def _is_holder_alive(self, record: ClaimRecord) -> bool:
+        # A host that restarted knows nothing of the claims of its earlier incarnation.
         incarnation = int(record.token.split("/")[1])
         if record.host == self._context.host:
             return incarnation == self._context.incarnation
@@ -144,9 +144,9 @@
             member is not None and member.is_alive and member.incarnation <= incarnation
         )
 
-    def _end_kept(self, message: messages.ClaimEndStored) -> None:
+    def _end_stored(self, message: messages.ClaimEndStored) -> None:
         self._endings.pop(message.token, None)
 
 
-def _ignore(*told: object) -> None:
-    """Stand for a listener until one is set."""
+def _ignore(*arguments: object) -> None:
+    """Do nothing; the default of the callbacks."""
--- a/packages/core/src/knapweedbridge_core/claims.py
+++ b/packages/core/src/knapweedbridge_core/claims.py
@@ -1,4 +1,4 @@
-"""Claims of idempotency keys: what is stored, and what a repeat is told."""
+"""Claims of idempotency keys: stored records, and outcomes of repeated requests."""
 
 import hashlib
 from dataclasses import dataclass
@@ -23,7 +23,7 @@
 
 
 class ClaimState(StrEnum):
-    """How far the request that made a claim has come."""
+    """State of the request that made a claim."""
 
     OPEN = "open"
     RELEASED = "released"
@@ -33,12 +33,12 @@
 
 @dataclass(slots=True, frozen=True)
 class ClaimRecord:
-    """What the key-value service holds of one idempotency key.
+    """What the key-value service holds for one idempotency key.
 
     Parameters
     ----------
     token : str
-        Unique to the claimant; tells whether a write of ours took effect.
+        Unique to the claimant; shows whether its own write took effect.
     host : str
         Daemon that runs the request.
     fingerprint : str
@@ -56,7 +56,7 @@
     answer: Recorded | None = None
 
     def pack(self) -> bytes:
-        """Encode for the key-value service."""
+        """Encode the record for the key-value service."""
         answer = self.answer
         fields = (
             None
@@ -69,7 +69,7 @@
 
 
 def unpack_record(packed: bytes) -> ClaimRecord:
-    """Decode what `ClaimRecord.pack` made."""
+    """Decode a record that `ClaimRecord.pack` encoded."""
     token, host, fingerprint, state, fields = msgpack.unpackb(packed)
     return ClaimRecord(
         token, host, fingerprint, state, Recorded(*fields) if fields else None
@@ -77,12 +77,12 @@
 
 
 def may_be_repeated(request: Request) -> bool:
-    """Tell whether a repeat of a request that runs only once can be known."""
+    """Return whether a repeat of a request that runs only once is recognizable."""
     return request.non_idempotent and bool(request.idempotency_key)
 
 
 def needs_claim(request: Request) -> bool:
-    """Tell whether a request may be dispatched only under a claim."""
+    """Return whether a request may be dispatched only under a claim."""
     if not request.non_idempotent:
         return False
     checks_store = request.without_key == WithoutKey.REFUSE_WHEN_STORE_DOWN
@@ -90,22 +90,23 @@
 
 
 def lacks_key(request: Request) -> bool:
-    """Tell whether a request is refused because it shows no key."""
+    """Return whether a request is refused because it has no idempotency key."""
     refused = request.without_key == WithoutKey.REFUSE
     return request.non_idempotent and refused and not request.idempotency_key
 
 
 def claim_key(request: Request) -> str:
-    """Return the stored key of (team, caller, idempotency key)."""
+    """Return the store key for the team, caller and idempotency key of a request."""
     parts = [request.team, request.caller, request.idempotency_key]
     if not request.idempotency_key:
-        # Nothing can repeat it: its claim only shows that the store takes claims.
+        # No other request can have this key; the claim only proves that the store
+        # accepts claims.
         parts.append(request.request_id)
     return CLAIM_KEY + hashlib.sha256("\0".join(parts).encode()).hexdigest()
 
 
 def ended_state(outcome: FinalOutcome) -> ClaimState:
-    """Tell how a claim ends when its request ends so."""
+    """Return the final state of a claim for the outcome of its request."""
     if isinstance(outcome, NotRun):
         return ClaimState.RELEASED
     if isinstance(outcome, Complete):
@@ -114,9 +115,9 @@
 
 
 def repeat_outcome(
-    record: ClaimRecord, request: Request, holder_lives: bool
+    record: ClaimRecord, request: Request, is_holder_alive: bool
 ) -> FinalOutcome:
-    """Tell what the caller of a repeat is answered.
+    """Return the outcome of a repeated request.
 
     Parameters
     ----------
@@ -124,8 +125,8 @@
         The claim of the first request; not released.
     request : Request
         The repeat.
-    holder_lives : bool
-        Whether the daemon that made the claim is there.
+    is_holder_alive : bool
+        Whether the daemon that made the claim is alive.
     """
     if record.fingerprint != request.fingerprint:
         return NotRun(Reason.KEY_REUSED)
@@ -133,8 +134,8 @@
         return record.answer
     if record.state == ClaimState.COMPLETE:
         return Unknown(Reason.ALREADY_RUN)
-    if record.state == ClaimState.OPEN and holder_lives:
+    if record.state == ClaimState.OPEN and is_holder_alive:
         return Unknown(Reason.REPEATED, retry_after_s=REPEAT_AFTER_S)
-    # The first host died before or after it dispatched, or lost its endpoint:
-    # nobody can tell whether the request ran, so it is never run again.
+    # The first host died before or after the dispatch, or lost its endpoint. Whether
+    # the request ran cannot be known, so it is never run again.
     return Unknown(Reason.FIRST_UNKNOWN)
--- a/packages/core/src/knapweedbridge_core/duplicates.py
+++ b/packages/core/src/knapweedbridge_core/duplicates.py
@@ -1,4 +1,4 @@
-"""Finds what may stand only once in a configuration but stands twice."""
+"""Detection of values that must be unique in a configuration."""
 
 from collections.abc import Iterable
 
@@ -8,7 +8,7 @@
 
 
 def find_duplicates(sections: Iterable[tuple[str, dict[str, str]]]) -> list[Fault]:
-    """Return a fault for each value that an earlier section holds already."""
+    """Return a fault for each value that an earlier section already has."""
     first: dict[tuple[str, str], str] = {}
     faults: list[Fault] = []
     for title, items in sections:
--- a/packages/core/src/knapweedbridge_core/fair_queue.py
+++ b/packages/core/src/knapweedbridge_core/fair_queue.py
@@ -1,4 +1,4 @@
-"""Requests that wait for a place: by priority, then by the teams' shares."""
+"""Queue of waiting requests, ordered by priority and by the shares of teams."""
 
 from collections import deque
 from collections.abc import Iterator
@@ -11,34 +11,34 @@
 
 
 @dataclass(slots=True)
-class _Team:
-    """The waiting requests of a team in one class, a caller at a time."""
+class _TeamQueue:
+    """Waiting requests of a team in one priority, served round robin over callers."""
 
-    tag: float = 0.0
+    start_tag: float = 0.0
     callers: dict[str, deque[Request]] = field(default_factory=dict)
 
     def __len__(self) -> int:
         return sum(len(waiting) for waiting in self.callers.values())
 
     def in_order(self) -> Iterator[Request]:
-        """Yield what waits in the order of `pop`, without taking it."""
-        turns = [iter(waiting) for waiting in self.callers.values()]
-        while turns:
-            left = []
-            for turn in turns:
-                request = next(turn, None)
+        """Yield the waiting requests in the order of `pop`, without removing them."""
+        iterators = [iter(waiting) for waiting in self.callers.values()]
+        while iterators:
+            remaining = []
+            for iterator in iterators:
+                request = next(iterator, None)
                 if request is not None:
-                    left.append(turn)
+                    remaining.append(iterator)
                     yield request
-            turns = left
+            iterators = remaining
 
     def tagged(self, name: str, weight: float) -> Iterator[tuple[float, str, Request]]:
-        """Yield what waits with the tag at which each is taken."""
-        for place, request in enumerate(self.in_order()):
-            yield self.tag + place / weight, name, request
+        """Yield the waiting requests, each with the start tag at which it is popped."""
+        for position, request in enumerate(self.in_order()):
+            yield self.start_tag + position / weight, name, request
 
     def pop(self) -> Request:
-        """Take the oldest of the caller whose turn it is."""
+        """Remove and return the oldest request of the next caller in turn."""
         caller, waiting = next(iter(self.callers.items()))
         request = waiting.popleft()
         del self.callers[caller]
@@ -48,11 +48,11 @@
 
 
 @dataclass(slots=True)
-class _Class:
-    """The waiting requests of one priority; start-time fair queueing over teams."""
+class _PriorityQueue:
+    """Waiting requests of one priority; start-time fair queueing over teams."""
 
-    teams: dict[str, _Team] = field(default_factory=dict)
-    virtual: float = 0.0
+    teams: dict[str, _TeamQueue] = field(default_factory=dict)
+    virtual_time: float = 0.0
 
     def __len__(self) -> int:
         return sum(len(team) for team in self.teams.values())
@@ -61,60 +61,60 @@
 class FairQueue:
     """Orders waiting requests.
 
-    A higher priority goes first. Within a priority each team gets places by its
-    share, whatever it sends, and within a team each caller has its turn.
+    A higher priority goes first. Within a priority each team is served in proportion to
+    its share, however much it sends, and within a team the callers take turns.
     """
 
     def __init__(self) -> None:
-        self._classes = {name: _Class() for name in PRIORITIES}
+        self._priorities = {name: _PriorityQueue() for name in PRIORITIES}
 
     def __len__(self) -> int:
-        return sum(len(held) for held in self._classes.values())
+        return sum(len(queue) for queue in self._priorities.values())
 
     def __iter__(self) -> Iterator[Request]:
-        for held in self._classes.values():
-            for team in held.teams.values():
+        for queue in self._priorities.values():
+            for team in queue.teams.values():
                 for waiting in team.callers.values():
                     yield from waiting
 
     def in_order(self, shares: dict[str, float]) -> Iterator[Request]:
-        """Yield the waiting requests in the order of `pop`, without taking them."""
-        for held in self._classes.values():
+        """Yield the waiting requests in the order of `pop`, without removing them."""
+        for queue in self._priorities.values():
             tagged = [
                 team.tagged(name, max(shares.get(name, 1.0), 1e-3))
-                for name, team in held.teams.items()
+                for name, team in queue.teams.items()
             ]
             for _, _, request in merge(*tagged, key=lambda entry: entry[:2]):
                 yield request
 
     def add(self, request: Request) -> None:
-        """Let a request wait."""
-        held = self._classes[request.priority]
-        team = held.teams.setdefault(request.team, _Team(held.virtual))
+        """Add a request at the end of its caller's queue."""
+        queue = self._priorities[request.priority]
+        team = queue.teams.setdefault(request.team, _TeamQueue(queue.virtual_time))
         team.callers.setdefault(request.caller, deque()).append(request)
 
     def pop(self, shares: dict[str, float]) -> Request | None:
-        """Take the request whose turn it is, or None."""
-        for held in self._classes.values():
-            if held.teams:
-                return self._pop(held, shares)
+        """Remove and return the next request, or None if none waits."""
+        for queue in self._priorities.values():
+            if queue.teams:
+                return self._pop(queue, shares)
         return None
 
     @staticmethod
-    def _pop(held: _Class, shares: dict[str, float]) -> Request:
-        name = min(held.teams, key=lambda team: (held.teams[team].tag, team))
-        team = held.teams[name]
-        held.virtual = team.tag
-        team.tag += 1.0 / max(shares.get(name, 1.0), 1e-3)
+    def _pop(queue: _PriorityQueue, shares: dict[str, float]) -> Request:
+        name = min(queue.teams, key=lambda team: (queue.teams[team].start_tag, team))
+        team = queue.teams[name]
+        queue.virtual_time = team.start_tag
+        team.start_tag += 1.0 / max(shares.get(name, 1.0), 1e-3)
         request = team.pop()
         if not team.callers:
-            del held.teams[name]
+            del queue.teams[name]
         return request
 
     def remove(self, request: Request) -> bool:
-        """Drop a request; False if it does not wait."""
-        held = self._classes[request.priority]
-        team = held.teams.get(request.team)
+        """Remove a request; return False if it does not wait."""
+        queue = self._priorities[request.priority]
+        team = queue.teams.get(request.team)
         waiting = team.callers.get(request.caller) if team else None
         if team is None or waiting is None or request not in waiting:
             return False
@@ -122,33 +122,33 @@
         if not waiting:
             del team.callers[request.caller]
         if not team.callers:
-            del held.teams[request.team]
+            del queue.teams[request.team]
         return True
 
-    def of_caller(self, request: Request) -> int:
-        """Count the waiting requests of the same caller and priority."""
-        team = self._classes[request.priority].teams.get(request.team)
+    def count_of_caller(self, request: Request) -> int:
+        """Return how many requests of the same caller and priority wait."""
+        team = self._priorities[request.priority].teams.get(request.team)
         waiting = team.callers.get(request.caller) if team else None
         return len(waiting) if waiting else 0
 
-    def ahead(self, request: Request, shares: dict[str, float]) -> float:
-        """Return how many requests go before one that would be added now."""
+    def count_ahead(self, request: Request, shares: dict[str, float]) -> float:
+        """Return how many requests go before one that is added now."""
         higher = 0
         for name in PRIORITIES:
             if name == request.priority:
                 break
-            higher += len(self._classes[name])
-        held = self._classes[request.priority]
-        teams = set(held.teams) | {request.team}
+            higher += len(self._priorities[name])
+        queue = self._priorities[request.priority]
+        teams = set(queue.teams) | {request.team}
         weights = {name: max(shares.get(name, 1.0), 1e-3) for name in teams}
-        own = len(held.teams.get(request.team, _Team()))
+        own = len(queue.teams.get(request.team, _TeamQueue()))
         by_share = own * sum(weights.values()) / weights[request.team]
-        return higher + min(float(len(held)), by_share)
+        return higher + min(float(len(queue)), by_share)
 
     def last(self) -> Request | None:
-        """Return the newest of the largest team of the lowest priority."""
-        for held in reversed(self._classes.values()):
-            if held.teams:
-                team = max(held.teams.values(), key=len)
+        """Return the newest request of the largest team of the lowest priority."""
+        for queue in reversed(self._priorities.values()):
+            if queue.teams:
+                team = max(queue.teams.values(), key=len)
                 return max(team.callers.values(), key=len)[-1]
         return None
--- a/packages/core/src/knapweedbridge_core/fault_messages.py
+++ b/packages/core/src/knapweedbridge_core/fault_messages.py
@@ -1,11 +1,11 @@
-"""Messages that warn of requests and endpoints that fail."""
+"""Messages about requests that crash endpoints, and endpoints that leave."""
 
 from knapweedbridge_core.codec import message
 
 
 @message(tag="BlameTold")
 class SuspectUpdate:
-    """A daemon tells what it holds against a fingerprint."""
+    """State of one loss of an endpoint that ran a suspected request."""
 
     fingerprint: str
     loss_id: str
@@ -16,14 +16,14 @@
 
 @message(tag="BlameCleared")
 class SuspectCleared:
-    """A suspected request got its whole answer."""
+    """A suspected request got its complete answer."""
 
     fingerprint: str
 
 
 @message(tag="LeavingTold")
 class LeavingUpdate:
-    """A daemon saw the sign that an endpoint leaves, or that it stays after all."""
+    """Whether an endpoint leaves, as a daemon or an operator (`ordered`) found."""
 
     endpoint: str
     leaving: bool
--- a/packages/core/src/knapweedbridge_core/limits.py
+++ b/packages/core/src/knapweedbridge_core/limits.py
@@ -1,4 +1,4 @@
-"""Limits on the requests of a team and of a key, shared by the daemons."""
+"""Request limits of teams and keys, divided among the daemons."""
 
 import math
 from dataclasses import dataclass
@@ -12,21 +12,21 @@
 
 @dataclass(slots=True)
 class TokenBucket:
-    """Lets through a rate, and a burst of one second's worth.
+    """Token bucket with a burst of one second's worth of its rate.
 
     Parameters
     ----------
     tokens : float
         Requests that may pass now.
     at_s : float
-        When it was filled last.
+        Time of the last refill.
     """
 
     tokens: float
     at_s: float
 
     def wait_s(self, rate: float, now_s: float) -> float:
-        """Fill it, and return the seconds until a request may pass."""
+        """Refill the bucket, and return the seconds until a request may pass."""
         burst = max(1.0, rate * BURST_S)
         filled = self.tokens + max(0.0, now_s - self.at_s) * rate
         self.tokens, self.at_s = min(burst, filled), now_s
@@ -34,11 +34,12 @@
 
 
 class Limits:
-    """The buckets and the running requests of one daemon.
+    """Token buckets and counts of running requests of one daemon.
 
-    Each daemon enforces its part of a limit, the limit divided by the daemons that
-    take requests. So all of them together never let through more than the limit
-    and one burst a daemon; a caller that uses one host alone gets that host's part.
+    Each daemon enforces an equal part of a limit: the limit divided by the number of
+    daemons that take requests. Together they therefore never let through more than the
+    limit and one burst per daemon. A caller that uses only one host gets the part of
+    that host.
     """
 
     def __init__(self) -> None:
@@ -47,10 +48,10 @@
         self._keys: dict[str, KeyEntry] = {}
         self._generation = -1
 
-    def wait_s(
+    def acquire(
         self, request: Request, configuration: Configuration, daemons: int, now_s: float
     ) -> float:
-        """Take a request; return 0, or the seconds after which to come back."""
+        """Take tokens for a request; return 0, or the seconds to retry after."""
         key = self._key(request.caller, configuration)
         team = configuration.teams.get(request.team)
         rates = {
@@ -58,8 +59,8 @@
             f"key {request.caller}": key.requests_per_s if key else 0.0,
         }
         if key and key.concurrent:
-            most = math.ceil(key.concurrent / daemons)
-            if self._running.get(request.caller, 0) >= most:
+            max_running = math.ceil(key.concurrent / daemons)
+            if self._running.get(request.caller, 0) >= max_running:
                 return 1.0
         limited = {name: rate / daemons for name, rate in rates.items() if rate > 0}
         buckets = {name: self._bucket(name, now_s) for name in limited}
@@ -70,20 +71,20 @@
             bucket.tokens -= 1.0
         return 0.0
 
-    def begun(self, request: Request) -> None:
-        """Count a request that was taken."""
+    def record_start(self, request: Request) -> None:
+        """Count a request of a caller as running."""
         self._running[request.caller] = self._running.get(request.caller, 0) + 1
 
-    def ended(self, request: Request) -> None:
-        """Count a request that is over."""
+    def record_end(self, request: Request) -> None:
+        """Count a request of a caller as over."""
         left = self._running.get(request.caller, 0) - 1
         if left > 0:
             self._running[request.caller] = left
         else:
             self._running.pop(request.caller, None)
 
-    def forget_idle(self, now_s: float) -> None:
-        """Drop the buckets of callers that went away."""
+    def remove_idle(self, now_s: float) -> None:
+        """Remove the buckets that were not used for ``IDLE_S``."""
         for name, bucket in list(self._buckets.items()):
             if now_s - bucket.at_s >= IDLE_S:
                 del self._buckets[name]
--- a/packages/core/src/knapweedbridge_core/load_queue.py
+++ b/packages/core/src/knapweedbridge_core/load_queue.py
@@ -1,4 +1,4 @@
-"""The queue of adapter versions that wait for a load."""
+"""Queue of adapter versions that wait to be loaded."""
 
 from abc import ABC, abstractmethod
 from dataclasses import dataclass, field
@@ -8,23 +8,23 @@
 from knapweedbridge_core.names import AdapterVersion
 
 EXTRA_WAITER_S = 1.0
-ASKER_SILENCE_S = 5.0
+DEMAND_TTL_S = 5.0
 
 
 @dataclass(slots=True)
 class DaemonDemand:
-    """What one daemon's callers wait for.
+    """Requests of one daemon's callers that wait for an adapter version.
 
     Parameters
     ----------
     waiters : int
-        Requests that wait there.
+        Number of waiting requests.
     since_s : float
         When the oldest began to wait, on this daemon's clock.
     first_deadline_s, last_deadline_s : float
         First and last deadline among them, on this daemon's clock.
     reported_s : float
-        When it last said so.
+        When the daemon last reported them.
     """
 
     waiters: int
@@ -35,16 +35,16 @@
 
 
 @dataclass(slots=True)
-class Wanted:
-    """One adapter version that requests wait for."""
+class PendingLoad:
+    """An adapter version that requests wait for."""
 
     model: AdapterVersion
     demands: dict[str, DaemonDemand] = field(default_factory=dict)
-    place: float = 0.0
+    priority: float = 0.0
 
     @property
     def waiters(self) -> int:
-        """Requests that wait, over all daemons."""
+        """Number of waiting requests, over all daemons."""
         return sum(demand.waiters for demand in self.demands.values())
 
     @property
@@ -54,39 +54,40 @@
 
 
 class LoadPriority(ABC):
-    """Decides which of the waiting adapter versions is loaded first."""
+    """Decides which of the pending adapter versions is loaded first."""
 
     @abstractmethod
-    def place(self, wanted: Wanted) -> float:
-        """Return a number; the smallest goes first.
+    def key(self, pending: PendingLoad) -> float:
+        """Return the sort key; the smallest goes first.
 
-        It must not depend on the time now, so that the queue stays sorted.
+        It must not depend on the current time, so that the queue stays sorted.
         """
 
 
 class LongestWait(LoadPriority):
-    """First come, first loaded."""
+    """Loads first what has waited longest."""
 
-    def place(self, wanted: Wanted) -> float:
-        """See `LoadPriority.place`."""
-        return wanted.since_s
+    def key(self, pending: PendingLoad) -> float:
+        """See `LoadPriority.key`."""
+        return pending.since_s
 
 
 class MostAwaited(LoadPriority):
-    """Each further waiter counts as if the first had waited longer.
+    """Counts each further waiting request as a longer wait of the first.
 
     Parameters
     ----------
     extra_waiter_s : float
-        What a further waiter adds, in seconds; finite, so nobody starves.
+        Wait added per further request, in seconds. It is finite, so that no version
+        starves.
     """
 
     def __init__(self, extra_waiter_s: float = EXTRA_WAITER_S) -> None:
         self._extra_waiter_s = extra_waiter_s
 
-    def place(self, wanted: Wanted) -> float:
-        """See `LoadPriority.place`."""
-        return wanted.since_s - self._extra_waiter_s * (wanted.waiters - 1)
+    def key(self, pending: PendingLoad) -> float:
+        """See `LoadPriority.key`."""
+        return pending.since_s - self._extra_waiter_s * (pending.waiters - 1)
 
 
 class LoadQueue:
@@ -97,71 +98,73 @@
     Parameters
     ----------
     priority : LoadPriority
-        What goes first.
+        Decides the order.
     """
 
     def __init__(self, priority: LoadPriority) -> None:
         self._priority = priority
-        self._wanted: dict[AdapterVersion, Wanted] = {}
-        self._sorted = SortedKeyList(key=lambda item: (item.place, item.model))
+        self._pending: dict[AdapterVersion, PendingLoad] = {}
+        self._sorted = SortedKeyList(key=lambda item: (item.priority, item.model))
 
     def __len__(self) -> int:
-        return len(self._wanted)
+        return len(self._pending)
 
     def __contains__(self, model: AdapterVersion) -> bool:
-        return model in self._wanted
+        return model in self._pending
 
-    def first(self, most: int) -> list[Wanted]:
-        """Return the head of the queue."""
+    def first(self, most: int) -> list[PendingLoad]:
+        """Return up to `most` items from the head of the queue."""
         return list(self._sorted[:most])
 
-    def get(self, model: AdapterVersion) -> Wanted | None:
-        """Return what waits for an adapter version."""
-        return self._wanted.get(model)
-
-    def update(self, model: AdapterVersion, host: str, demand: DaemonDemand) -> Wanted:
-        """Note what a daemon's callers wait for; a repeat replaces."""
-        wanted = self._wanted.setdefault(model, Wanted(model))
-        if wanted.demands:
-            self._sorted.discard(wanted)
-        wanted.demands[host] = demand
-        wanted.place = self._priority.place(wanted)
-        self._sorted.add(wanted)
-        return wanted
-
-    def remove(self, model: AdapterVersion) -> Wanted | None:
-        """Take an adapter version out of the queue."""
-        wanted = self._wanted.pop(model, None)
-        if wanted is not None:
-            self._sorted.discard(wanted)
-        return wanted
+    def get(self, model: AdapterVersion) -> PendingLoad | None:
+        """Return the pending load of an adapter version, or None."""
+        return self._pending.get(model)
+
+    def update(
+        self, model: AdapterVersion, host: str, demand: DaemonDemand
+    ) -> PendingLoad:
+        """Add a daemon's demand for an adapter version, or replace its last one."""
+        pending = self._pending.setdefault(model, PendingLoad(model))
+        if pending.demands:
+            self._sorted.discard(pending)
+        pending.demands[host] = demand
+        pending.priority = self._priority.key(pending)
+        self._sorted.add(pending)
+        return pending
+
+    def remove(self, model: AdapterVersion) -> PendingLoad | None:
+        """Remove and return the pending load of an adapter version, or None."""
+        pending = self._pending.pop(model, None)
+        if pending is not None:
+            self._sorted.discard(pending)
+        return pending
 
     def withdraw(self, model: AdapterVersion, host: str) -> None:
-        """Take back what one daemon asked for."""
-        wanted = self._wanted.get(model)
-        if wanted is None or host not in wanted.demands:
+        """Remove one daemon's demand for an adapter version."""
+        pending = self._pending.get(model)
+        if pending is None or host not in pending.demands:
             return
-        self._sorted.discard(wanted)
-        del wanted.demands[host]
-        if wanted.demands:
-            wanted.place = self._priority.place(wanted)
-            self._sorted.add(wanted)
+        self._sorted.discard(pending)
+        del pending.demands[host]
+        if pending.demands:
+            pending.priority = self._priority.key(pending)
+            self._sorted.add(pending)
         else:
-            del self._wanted[model]
+            del self._pending[model]
 
-    def is_expired(self, wanted: Wanted, now_s: float) -> bool:
-        """Tell whether all that wait are past their deadlines."""
+    def is_expired(self, pending: PendingLoad, now_s: float) -> bool:
+        """Return whether all of its requests are past their deadlines."""
         return all(
-            demand.last_deadline_s <= now_s for demand in wanted.demands.values()
+            demand.last_deadline_s <= now_s for demand in pending.demands.values()
         )
 
-    def ahead_of(self, wanted: Wanted) -> int:
-        """Count the adapter versions that are loaded before this one."""
-        return self._sorted.bisect_left(wanted)
+    def ahead_of(self, pending: PendingLoad) -> int:
+        """Return how many adapter versions are loaded before this one."""
+        return self._sorted.bisect_left(pending)
 
     def remove_silent(self, now_s: float) -> None:
-        """Drop what nobody repeated: its waiters are gone, or their daemon."""
-        for model, wanted in list(self._wanted.items()):
-            for host, demand in list(wanted.demands.items()):
-                if now_s - demand.reported_s > ASKER_SILENCE_S:
+        """Remove demands that were not repeated: requests or their daemon are gone."""
+        for model, pending in list(self._pending.items()):
+            for host, demand in list(pending.demands.items()):
+                if now_s - demand.reported_s > DEMAND_TTL_S:
                     self.withdraw(model, host)
--- a/packages/core/src/knapweedbridge_core/operator_side.py
+++ b/packages/core/src/knapweedbridge_core/operator_side.py
@@ -1,7 +1,7 @@
-"""The operators' side: where the peers' administration APIs are found.
+"""Addresses of the peers' administration APIs.
 
-Each daemon tells its peers once a link where its own listens, so that the
-operators' command can ask every host itself and no daemon's loop grows.
+Each daemon sends its own address to a peer once per link. The operators' command can
+then query every host itself, which keeps that load off the daemons.
 """
 
 from knapweedbridge_core import events, messages
@@ -9,7 +9,7 @@
 
 
 class OperatorSide(Side):
-    """Knows the administration address of each peer.
+    """Keeps the administration address of each peer.
 
     Parameters
     ----------
@@ -25,20 +25,20 @@
     def handlers(self) -> dict[type, Handler]:
         """See `Side.handlers`."""
         return {
-            events.PeerConnected: self._peer_linked,
+            events.PeerConnected: self._peer_connected,
             events.HostsListed: self._hosts_listed,
-            messages.Introduction: self._introduction,
+            messages.Introduction: self._introduced,
         }
 
-    def _peer_linked(self, event: events.PeerConnected) -> None:
+    def _peer_connected(self, event: events.PeerConnected) -> None:
         introduction = messages.Introduction(self.administration_address)
         self._context.send(event.host, introduction)
 
-    def _introduction(self, message: messages.Introduction) -> None:
+    def _introduced(self, message: messages.Introduction) -> None:
         self.administration[self._context.sender] = message.administration
 
     def _hosts_listed(self, event: events.HostsListed) -> None:
-        # Hosts come and go for ever; addresses of those gone are forgotten.
+        # Hosts are added and removed without end, so unlisted ones must be dropped.
         known = {member.name for member in self._context.members.known()}
         for name in self.administration.keys() - known:
             del self.administration[name]
--- a/packages/core/src/knapweedbridge_core/outcomes.py
+++ b/packages/core/src/knapweedbridge_core/outcomes.py
@@ -1,4 +1,4 @@
-"""Tagged outcomes of an attempt and of a request."""
+"""Outcomes of attempts and requests."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -43,14 +43,14 @@
 
 @dataclass(slots=True, frozen=True)
 class NotRun:
-    """It is proved that the request did not run.
+    """The request provably did not run.
 
     Parameters
     ----------
     reason : Reason
-        Why it was not run.
+        Why it did not run.
     retry_after_s : float or None
-        When to come back; None where asking again cannot help.
+        When to retry; None if a retry cannot help.
     """
 
     reason: Reason
@@ -59,7 +59,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Unknown:
-    """The request may have run, in part or whole.
+    """The request may have run, partly or completely.
 
     Parameters
     ----------
@@ -68,7 +68,7 @@
     tokens : int
         Tokens already delivered to the caller.
     retry_after_s : float or None
-        When asking again may tell more; None where it cannot.
+        When a repeat may learn more; None if it cannot.
     """
 
     reason: Reason
@@ -78,12 +78,12 @@
 
 @dataclass(slots=True, frozen=True)
 class Recorded:
-    """The answer that an earlier request with the same idempotency key got.
+    """The answer to an earlier request with the same idempotency key.
 
     Parameters
     ----------
     status : int
-        HTTP status of that answer.
+        HTTP status of the answer.
     content_type : str
         Its content type.
     body : bytes
@@ -97,14 +97,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Complete:
-    """The whole answer was delivered.
+    """The complete answer was delivered.
 
     Parameters
     ----------
     tokens : int
-        Tokens of the answer.
+        Number of tokens of the answer.
     answer : Recorded or None
-        The answer itself, where a repeat may ask for it and it is small.
+        The answer itself, if it is small and a repeat may request it.
     """
 
     tokens: int = 0
--- a/packages/core/src/knapweedbridge_core/owned_endpoints.py
+++ b/packages/core/src/knapweedbridge_core/owned_endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoints that this daemon owns, shared by the owner's sides."""
+"""State of the endpoints that this daemon owns, shared by the owner's sides."""
 
 from knapweedbridge_core.context import Context, Side
 from knapweedbridge_core.leases import DaemonLease
@@ -8,17 +8,17 @@
 from knapweedbridge_core.tenure import Tenure
 from knapweedbridge_core.times import CONTACT_MAX_AGE_S, SILENCE_TIMEOUT_S
 
-NEIGHBOURS = 6
-"""Others of whom most must be heard; a greater pool has as many neighbours."""
+MAX_CONTACTS = 6
+"""Greatest number of other daemons of which a majority must be in contact."""
 
 
 class OwnedEndpoints:
-    """Lease, claims and tenures, and what they allow now.
+    """Lease, ownership claims and tenures, and what they permit now.
 
     Parameters
     ----------
     context : Context
-        What it shares with the other sides.
+        State shared by the sides of the core.
     """
 
     def __init__(self, context: Context) -> None:
@@ -29,49 +29,52 @@
         )
         self.tenures: dict[str, Tenure] = {}
         self._ticked_s = context.now_s
-        self._heard_s: dict[str, float] = {}
+        self._contacts_s: dict[str, float] = {}
 
-    def has_contact(self) -> bool:
-        """Tell whether this daemon heard enough others just now.
+    def has_majority(self) -> bool:
+        """Return whether this daemon recently received messages from a majority.
 
-        A successor evicts only after it asked all daemons too, so one that both
-        hear tells an owner without a lease that it was succeeded. After a gap it
-        may have been told in vain: an owner that was cut off or slept, and hears
-        its peers again, gives no grants until it has read its record. Who lives is
-        no measure: a daemon cut off with few others takes nobody for dead.
+        A successor evicts an adapter only after it has asked all daemons too. A daemon
+        that both can reach therefore tells an owner without a lease that it was
+        succeeded. While the owner is cut off or suspended, it may miss this. Once it
+        receives messages from its peers again, it gives no grants until it has read its
+        record. The number of members believed alive is no substitute: a daemon cut off
+        with few others considers none of them dead.
         """
         now_s = self._context.now_s
         if now_s - self._ticked_s >= SILENCE_TIMEOUT_S:
             return False
-        record_contact = [
-            at_s for at_s in self._heard_s.values() if now_s - at_s < SILENCE_TIMEOUT_S
+        recent = [
+            at_s
+            for at_s in self._contacts_s.values()
+            if now_s - at_s < SILENCE_TIMEOUT_S
         ]
-        others = min(len(self._context.members.known()), NEIGHBOURS)
-        return 2 * (len(record_contact) + 1) > others + 1
+        others = min(len(self._context.members.known()), MAX_CONTACTS)
+        return 2 * (len(recent) + 1) > others + 1
 
     def record_contact(self, host: str) -> None:
-        """Note that a daemon was heard."""
-        self._heard_s[host] = self._context.now_s
+        """Record that a message from a daemon was received."""
+        self._contacts_s[host] = self._context.now_s
 
     def tick(self) -> None:
-        """Note the owned endpoints whose owner lost lease and contact."""
+        """Record which owned endpoints lack both a lease and a majority."""
         for tenure in self.tenures.values():
-            self._note_gap(tenure)
-        self._heard_s = {
+            self._check_majority(tenure)
+        self._contacts_s = {
             host: at_s
-            for host, at_s in self._heard_s.items()
+            for host, at_s in self._contacts_s.items()
             if self._context.now_s - at_s < CONTACT_MAX_AGE_S
         }
         self._ticked_s = self._context.now_s
 
-    def _note_gap(self, tenure: Tenure) -> None:
+    def _check_majority(self, tenure: Tenure) -> None:
         if self.owners.holds(tenure.endpoint, self._context.now_s):
             tenure.lost_majority = False
-        elif not self.has_contact():
+        elif not self.has_majority():
             tenure.lost_majority = True
 
     def may_grant(self, tenure: Tenure, model: AdapterVersion) -> bool:
-        """Tell whether a grant given now is known to every later owner."""
+        """Return whether every later owner learns of a grant given now."""
         now_s = self._context.now_s
         if not tenure.ready or self.owners.is_handing_over(tenure.endpoint):
             return False
@@ -80,11 +83,11 @@
             return False
         if tenure.takeover.is_condemned(model, now_s):
             return False
-        self._note_gap(tenure)
+        self._check_majority(tenure)
         return not tenure.lost_majority
 
     def may_order_eviction(self, tenure: Tenure) -> bool:
-        """Tell whether an eviction ordered now cannot hit a later owner's grants."""
+        """Return whether an eviction ordered now is safe for later owners' grants."""
         now_s = self._context.now_s
         if not tenure.ready or not tenure.takeover.may_evict(now_s):
             return False
@@ -92,17 +95,17 @@
             return False
         if self.owners.holds(tenure.endpoint, now_s):
             return True
-        self._note_gap(tenure)
+        self._check_majority(tenure)
         return tenure.checks_fencing and not tenure.lost_majority
 
     def may_load(self, tenure: Tenure, model: AdapterVersion) -> bool:
-        """Tell whether a free slot may be used."""
+        """Return whether a version may be loaded into a free slot."""
         if not tenure.ready or tenure.closing:
             return False
         return not tenure.takeover.is_condemned(model, self._context.now_s)
 
     def grantable(self, tenure: Tenure) -> list[AdapterVersion]:
-        """Return the adapter versions that may be granted."""
+        """Return the loaded adapter versions that may be granted."""
         now_s = self._context.now_s
         return [
             model
@@ -111,7 +114,7 @@
         ]
 
     def publish(self, tenure: Tenure) -> None:
-        """Tell the peers what an endpoint holds."""
+        """Send the peers what an endpoint has loaded and running."""
         settled = self._context.now_s >= tenure.takeover.settled_s
         if not tenure.ready or not (settled or tenure.checks_fencing):
             return
@@ -127,14 +130,14 @@
 
 
 class OwnedEndpointsSide(Side):
-    """One of the owner's sides.
+    """Base class of the owner's sides.
 
     Parameters
     ----------
     context : Context
-        What it shares with the other sides.
-    owned : Estate
-        What it shares with the owner's other sides.
+        State shared by the sides of the core.
+    owned : OwnedEndpoints
+        State shared by the owner's sides.
     """
 
     def __init__(self, context: Context, owned: OwnedEndpoints) -> None:
--- a/packages/core/src/knapweedbridge_core/requests.py
+++ b/packages/core/src/knapweedbridge_core/requests.py
@@ -1,4 +1,4 @@
-"""The life of the requests that this daemon took from callers."""
+"""State of the requests that this daemon received from callers."""
 
 from dataclasses import dataclass, field
 
@@ -8,24 +8,28 @@
 
 @dataclass(slots=True)
 class LiveRequest:
-    """A request that has no final outcome yet.
+    """A request without a final outcome yet.
 
     Parameters
     ----------
+    attempts_unused : int
+        Attempts that were never dispatched.
+    asked_s : float
+        When the grant of the current attempt was requested.
     owner : str
-        Who was asked for the grant of the present attempt, and gets it back.
+        Owner that was asked for the grant of the current attempt, and gets it back.
     retry_at_s : float
-        Before this time it is not routed again, on the daemon's clock.
+        Earliest time of the next routing, on the daemon's clock.
     claiming : bool
-        Whether its claim is still asked for; until then it is not routed.
+        Whether its claim is being requested; it is not routed before it is held.
     resumes : int
-        Times the present attempt was resumed in a row without a token.
+        Consecutive resumes of the current attempt without a new token.
     resumed_at : int
-        Tokens that the caller had at the last resume.
+        Tokens delivered at the last resume.
     delivered : int
-        Tokens that the caller has, of all attempts.
+        Tokens delivered to the caller, over all attempts.
     maybe_ran : Reason or None
-        Why an earlier attempt may have run, if one may have.
+        Why an earlier attempt may have run, or None if no attempt may have.
     """
 
     request: Request
@@ -44,16 +48,16 @@
     maybe_ran: Reason | None = None
     suspect: bool = False
     queued: bool = False
-    begun_s: float = 0.0
+    started_s: float = 0.0
     tried: set[str] = field(default_factory=set)
 
     @property
-    def attempts_run(self) -> int:
+    def attempts_dispatched(self) -> int:
         """Attempts that were dispatched."""
         return self.attempts - self.attempts_unused
 
-    def next_attempt(self, endpoint: str, owner: str = "") -> str:
-        """Begin another attempt and return its id."""
+    def start_attempt(self, endpoint: str, owner: str = "") -> str:
+        """Start another attempt and return its id."""
         self.attempts += 1
         self.endpoint = endpoint
         self.owner = owner
@@ -64,23 +68,23 @@
         return self.attempt_id
 
     def count_resume(self) -> None:
-        """Count a resume; those before the last delivered token are forgotten."""
+        """Count a resume; a token delivered since the last one restarts the count."""
         if self.delivered > self.resumed_at:
             self.resumes = 0
         self.resumes += 1
         self.resumed_at = self.delivered
 
-    def note(self, outcome: Outcome) -> None:
-        """Keep of an attempt's outcome what binds the request's own."""
+    def record_outcome(self, outcome: Outcome) -> None:
+        """Record what an attempt's outcome implies for the request's outcome."""
         if isinstance(outcome, Unknown):
             self.maybe_ran = outcome.reason
             self.delivered = max(self.delivered, outcome.tokens)
 
-    def honest(self, outcome: Outcome) -> Outcome:
-        """Return an outcome that no earlier attempt contradicts.
+    def reconcile(self, outcome: Outcome) -> Outcome:
+        """Return an outcome that is consistent with all earlier attempts.
 
-        A request of which one attempt may have run is not told to be not run,
-        whatever became of the attempts after it.
+        If one attempt may have run, the request is not reported as not run, whatever
+        the outcomes of the attempts after it.
         """
         if isinstance(outcome, NotRun) and self.maybe_ran is not None:
             return Unknown(self.maybe_ran, self.delivered, outcome.retry_after_s)
--- a/packages/core/src/knapweedbridge_core/retries.py
+++ b/packages/core/src/knapweedbridge_core/retries.py
@@ -1,4 +1,4 @@
-"""Whether an attempt that failed is followed by another, and when."""
+"""Decides whether a failed attempt is retried or resumed, and when."""
 
 import hashlib
 from dataclasses import dataclass, replace
@@ -18,20 +18,20 @@
 
 
 class RetryBudget:
-    """Token bucket that requests fill and retries empty.
+    """Token bucket that requests fill and retries drain.
 
-    Under an outage every request fails; without the bucket each would be
-    attempted `MAX_ATTEMPTS` times, and the retries would multiply the load on
-    the endpoints that are left.
+    In an outage every request fails. Without the budget each would be attempted
+    `MAX_ATTEMPTS` times, and the retries would multiply the load on the endpoints that
+    are left.
 
     Parameters
     ----------
     ratio : float
-        Retries earned by a request.
+        Retries earned per request.
     min_per_s : float
-        Retries earned by a second, so that a daemon with few requests can retry.
+        Retries earned per second, so that a daemon with few requests can retry.
     limit : float
-        Retries that may be saved up.
+        Greatest number of retries that are saved up.
     """
 
     def __init__(
@@ -43,27 +43,27 @@
         self._ratio = ratio
         self._min_per_s = min_per_s
         self._limit = limit
-        self._saved = 1.0
+        self._tokens = 1.0
         self._filled_s: float | None = None
 
     def earn(self, now_s: float) -> None:
-        """Take note of one new request."""
+        """Fill the bucket for one new request."""
         self._fill(now_s)
-        self._saved = min(self._limit, self._saved + self._ratio)
+        self._tokens = min(self._limit, self._tokens + self._ratio)
 
     def spend(self, now_s: float) -> bool:
-        """Take one retry from the bucket; False where there is none."""
+        """Take one retry from the bucket; return False if there is none."""
         self._fill(now_s)
-        if self._saved < 1.0:
+        if self._tokens < 1.0:
             return False
-        self._saved -= 1.0
+        self._tokens -= 1.0
         return True
 
     def _fill(self, now_s: float) -> None:
-        since_s = now_s - self._filled_s if self._filled_s is not None else 0.0
+        elapsed_s = now_s - self._filled_s if self._filled_s is not None else 0.0
         self._filled_s = now_s
-        earned = max(0.0, since_s) * self._min_per_s
-        self._saved = min(self._limit, self._saved + earned)
+        earned = max(0.0, elapsed_s) * self._min_per_s
+        self._tokens = min(self._limit, self._tokens + earned)
 
 
 @dataclass(slots=True, frozen=True)
@@ -74,18 +74,18 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Again:
-    """Another attempt is to begin at this time, on the daemon's clock."""
+class Retry:
+    """Another attempt starts at this time, on the daemon's clock."""
 
     at_s: float
 
 
 @dataclass(slots=True, frozen=True)
-class GoOn:
-    """The same attempt is to be resumed at its offset."""
+class ResumeAttempt:
+    """The same attempt is resumed at its offset."""
 
 
-Decision = Final | Again | GoOn
+Decision = Final | Retry | ResumeAttempt
 
 
 def decide(
@@ -96,11 +96,11 @@
     Parameters
     ----------
     live : LiveRequest
-        The request; its `maybe_ran` already tells of this outcome.
+        The request, in which this outcome is already recorded.
     outcome : Outcome
         How the attempt ended.
     budget : RetryBudget
-        Spent from where another attempt is allowed.
+        Budget that another attempt is taken from.
     now_s : float
         Seconds on the daemon's clock.
     """
@@ -109,29 +109,29 @@
     if now_s >= live.request.deadline_s:
         return Final(outcome)
     if _may_resume(live, outcome):
-        return GoOn()
-    if not _may_repeat(live, outcome):
+        return ResumeAttempt()
+    if not _may_retry(live, outcome):
         return Final(outcome)
     at_s = now_s + _backoff_s(live)
     if at_s >= live.request.deadline_s or not budget.spend(now_s):
-        return Final(_come_back(outcome))
-    return Again(at_s)
+        return Final(_with_retry_after(outcome))
+    return Retry(at_s)
 
 
 def _may_resume(live: LiveRequest, outcome: Outcome) -> bool:
     if not isinstance(outcome, Unknown) or outcome.reason not in RESUMABLE:
         return False
     streamed = live.request.streamed and live.request.model is not None
-    got_on = live.delivered > live.resumed_at
-    return streamed and (got_on or live.resumes < MAX_RESUMES)
+    progressed = live.delivered > live.resumed_at
+    return streamed and (progressed or live.resumes < MAX_RESUMES)
 
 
-def _may_repeat(live: LiveRequest, outcome: Outcome) -> bool:
-    if live.attempts_run >= MAX_ATTEMPTS:
+def _may_retry(live: LiveRequest, outcome: Outcome) -> bool:
+    if live.attempts_dispatched >= MAX_ATTEMPTS:
         return False
     if isinstance(outcome, NotRun):
-        # Text of an earlier attempt may have reached the caller: a new
-        # attempt would give it twice.
+        # The caller may have received text of an earlier attempt, which a new attempt
+        # would repeat.
         return live.delivered == 0
     if live.request.non_idempotent:
         return False
@@ -139,16 +139,16 @@
 
 
 def _backoff_s(live: LiveRequest) -> float:
-    # The first retry goes elsewhere and at once; later ones wait twice as
-    # long each, spread by the attempt's id so that they do not come together.
-    if live.attempts_run < 2:
+    # The first retry goes to another endpoint, without a delay. Each later one waits
+    # twice as long, with a jitter derived from the attempt's id.
+    if live.attempts_dispatched < 2:
         return 0.0
     digest = hashlib.blake2b(live.attempt_id.encode(), digest_size=2).digest()
-    spread = 0.5 + int.from_bytes(digest, "big") / 131072
-    return BACKOFF_S * 2 ** (live.attempts_run - 2) * spread
+    jitter = 0.5 + int.from_bytes(digest, "big") / 131072
+    return BACKOFF_S * 2 ** (live.attempts_dispatched - 2) * jitter
 
 
-def _come_back(outcome: Outcome) -> Outcome:
+def _with_retry_after(outcome: Outcome) -> Outcome:
     if isinstance(outcome, Complete) or outcome.retry_after_s is not None:
         return outcome
     return replace(outcome, retry_after_s=RETRY_AFTER_S)
--- a/packages/core/src/knapweedbridge_core/suspect_side.py
+++ b/packages/core/src/knapweedbridge_core/suspect_side.py
@@ -1,4 +1,4 @@
-"""Tells of suspects between daemons, and proves the losses held against them."""
+"""Shares suspects with the peers, and probes endpoints to prove their losses."""
 
 from dataclasses import dataclass, field
 
@@ -13,8 +13,8 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Charge:
-    """A loss held against a fingerprint until the endpoint was probed."""
+class SuspectedLoss:
+    """A loss recorded for a fingerprint, until the endpoint has been probed."""
 
     fingerprint: str
     loss_id: str
@@ -23,19 +23,19 @@
 
 
 @dataclass(slots=True)
-class Inquest:
-    """Charges that the probe under way answers, and those that came after it."""
+class ProbeInProgress:
+    """Losses that the running probe decides, and those suspected since it began."""
 
-    asked: list[Charge] = field(default_factory=list)
-    later: list[Charge] = field(default_factory=list)
+    covered: list[SuspectedLoss] = field(default_factory=list)
+    later: list[SuspectedLoss] = field(default_factory=list)
 
 
 class SuspectSide(Side):
-    """Keeps the shared table of blame in step with the peers."""
+    """Keeps the table of suspects in sync with the peers."""
 
     def __init__(self, context: Context) -> None:
         super().__init__(context)
-        self._inquests: dict[str, Inquest] = {}
+        self._probes: dict[str, ProbeInProgress] = {}
         self._incarnations: dict[str, str] = {}
 
     @property
@@ -47,17 +47,17 @@
         """See `Side.handlers`."""
         return {
             events.Tick: self._tick,
-            events.PeerConnected: self._peer_linked,
-            events.AttemptResult: self._attempt_judged,
-            events.EndpointProbed: self._probed,
-            messages.SuspectUpdate: self._told,
-            messages.SuspectCleared: self._cleared,
+            events.PeerConnected: self._peer_connected,
+            events.AttemptResult: self._attempt_ended,
+            events.EndpointProbed: self._endpoint_probed,
+            messages.SuspectUpdate: self._apply_update,
+            messages.SuspectCleared: self._apply_cleared,
         }
 
     def _tick(self, event: events.Tick) -> None:
         self.suspects.expire(self._context.now_s)
 
-    def _attempt_judged(self, event: events.AttemptResult) -> None:
+    def _attempt_ended(self, event: events.AttemptResult) -> None:
         outcome = event.outcome
         if isinstance(outcome, Complete):
             self._clear(event.request.fingerprint)
@@ -70,64 +70,66 @@
             self._context.broadcast(messages.SuspectCleared(fingerprint))
 
     def _suspect(self, request: events.Request, loss_id: str, endpoint: str) -> None:
-        # An endpoint that said it was leaving ended on purpose.
+        # An endpoint that announced that it leaves ended on purpose.
         if endpoint in self._context.leaving:
             return
         fingerprint = request.fingerprint
         now_s = self._context.now_s
         if not self.suspects.suspect(fingerprint, loss_id, endpoint, now_s):
             return
-        self._tell(fingerprint, loss_id, endpoint, LossState.SUSPECTED)
+        self._publish(fingerprint, loss_id, endpoint, LossState.SUSPECTED)
         entry = self._context.configuration.endpoints.get(endpoint)
         if entry is None:
             return
         incarnation = self._incarnations.get(endpoint, "")
-        charge = Charge(fingerprint, loss_id, request.model, incarnation)
-        inquest = self._inquests.get(endpoint)
-        if inquest is not None:
-            # The probe under way may have been answered before this stream broke.
-            inquest.later.append(charge)
+        loss = SuspectedLoss(fingerprint, loss_id, request.model, incarnation)
+        probe = self._probes.get(endpoint)
+        if probe is not None:
+            # The endpoint may have answered the running probe before this stream broke.
+            probe.later.append(loss)
             return
-        self._inquests[endpoint] = Inquest([charge])
+        self._probes[endpoint] = ProbeInProgress([loss])
         self._context.emit(ProbeEndpoint(endpoint, entry.address, entry.kind))
 
-    def _probed(self, event: events.EndpointProbed) -> None:
-        inquest = self._inquests.pop(event.endpoint, None)
+    def _endpoint_probed(self, event: events.EndpointProbed) -> None:
+        probe = self._probes.pop(event.endpoint, None)
         if event.reached:
             self._incarnations[event.endpoint] = event.incarnation
-        if inquest is None:
+        if probe is None:
             return
-        for charge in inquest.asked:
-            self._settle(charge, event)
+        for loss in probe.covered:
+            self._decide(loss, event)
         entry = self._context.configuration.endpoints.get(event.endpoint)
-        if inquest.later and entry is not None:
-            self._inquests[event.endpoint] = Inquest(inquest.later)
-            probe = ProbeEndpoint(event.endpoint, entry.address, entry.kind)
-            self._context.emit(probe)
-
-    def _settle(self, charge: Charge, event: events.EndpointProbed) -> None:
-        # A restarted engine is cold. An engine that still holds the adapter
-        # lived on, and only the stream broke.
-        warm = charge.model is None or charge.model in event.loaded
-        restarted = charge.incarnation != event.incarnation
-        if charge.incarnation and event.incarnation:
+        if probe.later and entry is not None:
+            self._probes[event.endpoint] = ProbeInProgress(probe.later)
+            request = ProbeEndpoint(event.endpoint, entry.address, entry.kind)
+            self._context.emit(request)
+
+    def _decide(self, loss: SuspectedLoss, event: events.EndpointProbed) -> None:
+        # A restarted engine holds no adapters. One that still holds the adapter was not
+        # lost, and only the stream broke.
+        warm = loss.model is None or loss.model in event.loaded
+        restarted = loss.incarnation != event.incarnation
+        if loss.incarnation and event.incarnation:
             warm = not restarted
         alive = event.reached and warm
         state = LossState.WITHDRAWN if alive else LossState.PROVED
-        self._apply(charge.fingerprint, charge.loss_id, state)
-        self._tell(charge.fingerprint, charge.loss_id, event.endpoint, state)
+        self._apply(loss.fingerprint, loss.loss_id, state)
+        self._publish(loss.fingerprint, loss.loss_id, event.endpoint, state)
 
-    def _tell(
+    def _publish(
         self, fingerprint: str, loss_id: str, endpoint: str, state: LossState
     ) -> None:
-        told = messages.SuspectUpdate(fingerprint, loss_id, endpoint, state.value, 0.0)
-        self._context.broadcast(told)
+        update = messages.SuspectUpdate(
+            fingerprint, loss_id, endpoint, state.value, 0.0
+        )
+        self._context.broadcast(update)
         self._context.record(
             f"blame.{state.value}", fingerprint=fingerprint, endpoint=endpoint
         )
         self._context.emit(Count(f"blame.{state.value}"))
 
-    def _told(self, message: messages.SuspectUpdate) -> None:
+    def _apply_update(self, message: messages.SuspectUpdate) -> None:
         state = LossState(message.state)
         at_s = self._context.now_s - message.age_s
         if state is not LossState.WITHDRAWN:
@@ -142,13 +144,13 @@
         elif state is LossState.WITHDRAWN:
             self.suspects.withdraw(fingerprint, loss_id)
 
-    def _cleared(self, message: messages.SuspectCleared) -> None:
+    def _apply_cleared(self, message: messages.SuspectCleared) -> None:
         self.suspects.clear(message.fingerprint)
 
-    def _peer_linked(self, event: events.PeerConnected) -> None:
+    def _peer_connected(self, event: events.PeerConnected) -> None:
         for fingerprint, loss_id, loss in self.suspects.entries():
             age_s = self._context.now_s - loss.at_s
-            told = messages.SuspectUpdate(
+            update = messages.SuspectUpdate(
                 fingerprint, loss_id, loss.endpoint, loss.state.value, age_s
             )
-            self._context.send(event.host, told)
+            self._context.send(event.host, update)
--- a/packages/core/src/knapweedbridge_core/suspects.py
+++ b/packages/core/src/knapweedbridge_core/suspects.py
@@ -1,8 +1,9 @@
-"""Which requests crash endpoints: suspicion, quarantine, refusal.
+"""Table of requests that are suspected of crashing endpoints.
 
-A fingerprint is suspected when an endpoint is lost with it running. One loss
-puts it into quarantine, where it runs beside no other suspect. A second loss
-refuses it everywhere. A whole answer clears it.
+A request is identified by its fingerprint. It is a suspect once an endpoint is lost
+while running it. After one loss it is quarantined: it runs on no endpoint together with
+another suspect. After a second loss it is refused everywhere. A complete answer clears
+it.
 """
 
 from collections.abc import Iterator
@@ -14,11 +15,11 @@
 UNPROVED_S = 5.0
 
 LAPSE_GROWTH = 10.0
-"""Times that a refusal lasts longer than the one before it."""
+"""Factor by which a refusal lasts longer than the previous one."""
 
 
 class Verdict(Enum):
-    """What may be done with a request."""
+    """How a request may be run."""
 
     FREE = "free"
     ALONE = "alone"
@@ -27,7 +28,7 @@
 
 
 class LossState(Enum):
-    """What is known of a loss."""
+    """Whether an endpoint is known to have been lost."""
 
     SUSPECTED = "suspected"
     PROVED = "proved"
@@ -36,29 +37,31 @@
 
 @dataclass(slots=True)
 class Loss:
-    """An endpoint that may have been lost with a fingerprint running."""
+    """An endpoint that may have been lost while running a fingerprint."""
 
     endpoint: str
     at_s: float
     state: LossState = LossState.SUSPECTED
 
     def is_proved(self, now_s: float) -> bool:
-        """Tell whether the loss counts; an unanswered probe counts in the end."""
-        # The daemon that asked may have died before it told of the answer:
-        # the loss then counts, since the other way an endpoint may be lost.
+        """Return whether the loss counts, also without an answer for ``UNPROVED_S``."""
+        # The daemon that probes the endpoint may die before it sends the result. The
+        # loss then counts, as otherwise another endpoint could be lost.
         return self.state is LossState.PROVED or now_s - self.at_s >= UNPROVED_S
 
 
 @dataclass(slots=True)
 class Suspect:
-    """What is held against one fingerprint.
+    """Losses and earlier refusals of one fingerprint.
 
     Parameters
     ----------
+    losses : dict of str to Loss
+        Losses by their ids.
     refusals : int
-        How often it was refused until that lapsed.
+        How many refusals have expired.
     released_s : float
-        When the last refusal lapsed.
+        When the last refusal expired.
     """
 
     losses: dict[str, Loss] = field(default_factory=dict)
@@ -67,27 +70,28 @@
 
     @property
     def last_s(self) -> float:
-        """Time of the last loss, or of the end of the refusal before."""
+        """Time of the last loss, or of the end of the last refusal."""
         times = (loss.at_s for loss in self.losses.values())
         return max(times, default=self.released_s)
 
     def is_refused(self, now_s: float) -> bool:
-        """Return whether it may not run; one that was refused before has one loss."""
-        confirm = sum(loss.is_proved(now_s) for loss in self.losses.values())
-        return confirm >= (1 if self.refusals else LOSSES_REFUSED)
+        """Return whether it may not run; after a refusal a single loss suffices."""
+        proved = sum(loss.is_proved(now_s) for loss in self.losses.values())
+        return proved >= (1 if self.refusals else LOSSES_REFUSED)
 
 
 class SuspectTable:
-    """The bounded table of suspects of one daemon.
+    """Bounded table of the suspects known to one daemon.
 
     Parameters
     ----------
     lapse_s : float
-        How long after its last loss a fingerprint stays suspected.
+        How long after its last loss a fingerprint stays a suspect.
     max_suspects : int
-        Greatest number of entries; the oldest with one loss falls out first.
+        Greatest number of entries. Those with the fewest losses are evicted first, the
+        oldest first among them.
     longest_lapse_s : float or None
-        Longest refusal, where each lasts longer than the one before it; None: all last
+        Longest refusal, where each lasts longer than the previous one. None if all last
         as long as the first.
     """
 
@@ -103,20 +107,20 @@
         self._table: dict[str, Suspect] = {}
 
     def judge(self, fingerprint: str, now_s: float) -> Verdict:
-        """Tell what may be done with a request now."""
+        """Return how a request may be run now."""
         suspect = self._table.get(fingerprint)
         if suspect is None:
             return Verdict.FREE
         if suspect.is_refused(now_s):
             return Verdict.REFUSE
-        # A broken stream is not yet a lost endpoint: with the second loss still
-        # unproved the request waits for the probe instead of being refused.
+        # A broken stream does not yet prove a lost endpoint: while the second loss is
+        # unproved, the request waits for the probe instead of being refused.
         if len(suspect.losses) >= LOSSES_REFUSED:
             return Verdict.HOLD
         return Verdict.ALONE
 
     def refused_for_s(self, fingerprint: str, now_s: float) -> float:
-        """Return the seconds until the blame of a fingerprint lapses."""
+        """Return the seconds until the entry of a fingerprint expires."""
         suspect = self._table.get(fingerprint)
         if suspect is None:
             return 0.0
@@ -128,16 +132,16 @@
         return min(self.longest_lapse_s, self.lapse_s * LAPSE_GROWTH**suspect.refusals)
 
     def knows(self, fingerprint: str) -> bool:
-        """Return whether anything is held against a fingerprint."""
+        """Return whether a fingerprint is a suspect."""
         return fingerprint in self._table
 
     def losses_s(self, fingerprint: str) -> list[float]:
-        """Return the times of the losses that are held against a fingerprint."""
+        """Return the times of the losses recorded for a fingerprint."""
         suspect = self._table.get(fingerprint)
         return [loss.at_s for loss in suspect.losses.values()] if suspect else []
 
     def was_refused(self, fingerprint: str) -> bool:
-        """Return whether an earlier refusal of a fingerprint has lapsed."""
+        """Return whether an earlier refusal of a fingerprint has expired."""
         suspect = self._table.get(fingerprint)
         return suspect is not None and suspect.refusals > 0
 
@@ -149,31 +153,31 @@
     def suspect(
         self, fingerprint: str, loss_id: str, endpoint: str, now_s: float
     ) -> bool:
-        """Note a possible loss; False where it is known already."""
+        """Record a possible loss; return False if it is already known."""
         suspect = self._table.setdefault(fingerprint, Suspect())
-        if loss_id in suspect.losses or self._same(suspect, endpoint, now_s):
+        if loss_id in suspect.losses or self._is_same_loss(suspect, endpoint, now_s):
             return False
         suspect.losses[loss_id] = Loss(endpoint, now_s)
-        self._bound()
+        self._evict_excess()
         return True
 
     @staticmethod
-    def _same(suspect: Suspect, endpoint: str, now_s: float) -> bool:
-        # Two attempts of one fingerprint die with the same endpoint at the same
-        # time, on one daemon or on two: that is one loss.
+    def _is_same_loss(suspect: Suspect, endpoint: str, now_s: float) -> bool:
+        # Several attempts of one fingerprint, on one daemon or more, that fail with the
+        # same endpoint at the same time are one loss.
         return any(
             loss.endpoint == endpoint and now_s - loss.at_s < SAME_LOSS_S
             for loss in suspect.losses.values()
         )
 
     def confirm(self, fingerprint: str, loss_id: str) -> None:
-        """Note that the endpoint was lost."""
+        """Record that the endpoint was lost."""
         loss = self._loss(fingerprint, loss_id)
         if loss is not None:
             loss.state = LossState.PROVED
 
     def withdraw(self, fingerprint: str, loss_id: str) -> None:
-        """Note that the endpoint was not lost: one stream broke."""
+        """Remove a loss: the endpoint was not lost, only a stream broke."""
         suspect = self._table.get(fingerprint)
         if suspect is None:
             return
@@ -182,7 +186,7 @@
             del self._table[fingerprint]
 
     def clear(self, fingerprint: str) -> bool:
-        """Forget a fingerprint that got its whole answer; False if unknown."""
+        """Remove a fingerprint with a complete answer; return False if unknown."""
         return self._table.pop(fingerprint, None) is not None
 
     def _loss(self, fingerprint: str, loss_id: str) -> Loss | None:
@@ -190,7 +194,7 @@
         return suspect.losses.get(loss_id) if suspect else None
 
     def expire(self, now_s: float) -> None:
-        """Forget what is older than its lapse; what was refused is on probation."""
+        """Remove expired entries, but remember refusals where these grow longer."""
         for fingerprint, suspect in list(self._table.items()):
             if now_s - suspect.last_s < self._lapse_of_s(suspect):
                 continue
@@ -201,19 +205,19 @@
             else:
                 del self._table[fingerprint]
 
-    def _bound(self) -> None:
+    def _evict_excess(self) -> None:
         while len(self._table) > self.max_suspects:
             oldest = min(
                 self._table,
-                key=lambda held: (
-                    len(self._table[held].losses),
-                    self._table[held].last_s,
+                key=lambda fingerprint: (
+                    len(self._table[fingerprint].losses),
+                    self._table[fingerprint].last_s,
                 ),
             )
             del self._table[oldest]
 
     def entries(self) -> Iterator[tuple[str, str, Loss]]:
-        """Yield fingerprint, loss id and loss of the whole table."""
+        """Yield fingerprint, loss id and loss for each loss in the table."""
         for fingerprint, suspect in self._table.items():
             for loss_id, loss in suspect.losses.items():
                 yield fingerprint, loss_id, loss
@@ -223,12 +227,12 @@
 
 
 class Quarantine:
-    """Lets an owner run one suspect at a time on an endpoint.
+    """Lets an owner run one suspect at a time on each endpoint.
 
     Parameters
     ----------
     lease_s : float
-        Bound on a place whose holder never gave it back.
+        Time after which a place that was not given back is free again.
     """
 
     def __init__(self, lease_s: float = 60.0) -> None:
@@ -236,7 +240,7 @@
         self._held: dict[str, tuple[str, float]] = {}
 
     def enter(self, endpoint: str, attempt_id: str, now_s: float) -> bool:
-        """Take the endpoint's place for suspects; False where it is taken."""
+        """Take the place for suspects on an endpoint; return False if it is taken."""
         held = self._held.get(endpoint)
         if held and held[0] != attempt_id and now_s - held[1] < self._lease_s:
             return False
