--- a/packages/core/src/knapweedbridge_core/owned_endpoints.py
+++ b/packages/core/src/knapweedbridge_core/owned_endpoints.py
@@ -81,7 +81,7 @@
         fenced = tenure.checks_fencing
         if not fenced and not tenure.takeover.may_grant(model, now_s):
             return False
-        if tenure.takeover.is_condemned(model, now_s):
+        if tenure.takeover.is_quarantined(model, now_s):
             return False
         self._check_majority(tenure)
         return not tenure.lost_majority
@@ -102,7 +102,7 @@
         """Return whether a version may be loaded into a free slot."""
         if not tenure.ready or tenure.closing:
             return False
-        return not tenure.takeover.is_condemned(model, self._context.now_s)
+        return not tenure.takeover.is_quarantined(model, self._context.now_s)
 
     def grantable(self, tenure: Tenure) -> list[AdapterVersion]:
         """Return the loaded adapter versions that may be granted."""
@@ -110,7 +110,7 @@
         return [
             model
             for model in tenure.ledger.loaded
-            if not tenure.takeover.is_condemned(model, now_s)
+            if not tenure.takeover.is_quarantined(model, now_s)
         ]
 
     def publish(self, tenure: Tenure) -> None:
--- a/packages/core/src/knapweedbridge_core/takeover.py
+++ b/packages/core/src/knapweedbridge_core/takeover.py
@@ -64,7 +64,7 @@
         for model in models:
             self.quarantined[model] = max(now_s, self.settled_s) + QUARANTINE_S
 
-    def is_condemned(self, model: AdapterVersion, now_s: float) -> bool:
+    def is_quarantined(self, model: AdapterVersion, now_s: float) -> bool:
         """Tell whether a name is kept away."""
         return now_s < self.quarantined.get(model, -inf)
 
@@ -78,4 +78,4 @@
         Witnesses tell of evictions that were begun, but those who were asked may
         have died since: what is in transit is waited out all the same.
         """
-        return now_s >= self.settled_s and not self.is_condemned(model, now_s)
+        return now_s >= self.settled_s and not self.is_quarantined(model, now_s)
