--- a/packages/core/src/knapweedbridge_core/ledger.py
+++ b/packages/core/src/knapweedbridge_core/ledger.py
@@ -233,7 +233,7 @@
             for attempt_id, grant in slot.grants.items()
         ]
 
-    def begin_with(self, loaded: list[AdapterVersion], now_s: float) -> None:
+    def restore_loaded(self, loaded: list[AdapterVersion], now_s: float) -> None:
         """Take the content of the slots from an earlier owner."""
         for model in loaded:
             self._slots[model] = Slot(SlotState.LOADED, now_s)
--- a/packages/core/src/knapweedbridge_core/owner_side.py
+++ b/packages/core/src/knapweedbridge_core/owner_side.py
@@ -191,7 +191,7 @@
             return
         now_s = self._context.now_s
         ledger = Ledger(entry.slots)
-        ledger.begin_with(message.loaded, now_s)
+        ledger.restore_loaded(message.loaded, now_s)
         for model, attempt_id, holder in zip(
             message.grant_models,
             message.grant_attempts,
