--- a/packages/core/src/knapweedbridge_core/ledger.py
+++ b/packages/core/src/knapweedbridge_core/ledger.py
@@ -110,7 +110,7 @@
                 wanted_s = max(wanted_s, slot.since_s + ORDER_TRANSIT_S)
         return wanted_s
 
-    def reported(
+    def apply_report(
         self,
         loaded: tuple[AdapterVersion, ...],
         running: dict[AdapterVersion, int],
--- a/packages/core/src/knapweedbridge_core/owner_side.py
+++ b/packages/core/src/knapweedbridge_core/owner_side.py
@@ -221,7 +221,7 @@
             return
         now_s = self._context.now_s
         tenure.reported_s = max(tenure.reported_s, event.taken_s)
-        tenure.ledger.reported(event.loaded, event.running, event.taken_s, now_s)
+        tenure.ledger.apply_report(event.loaded, event.running, event.taken_s, now_s)
         first, tenure.ready = not tenure.ready, True
         if first or tenure.published != self._owned.grantable(tenure):
             self._owned.publish(tenure)
