--- a/packages/core/src/knapweedbridge_core/ledger.py
+++ b/packages/core/src/knapweedbridge_core/ledger.py
@@ -100,7 +100,7 @@
         )
 
     @property
-    def wanted_report_s(self) -> float:
+    def required_report_s(self) -> float:
         """Time after which a report must be taken to settle what is in doubt."""
         wanted_s = -inf
         for slot in self._slots.values():
--- a/packages/core/src/knapweedbridge_core/owner_side.py
+++ b/packages/core/src/knapweedbridge_core/owner_side.py
@@ -228,7 +228,7 @@
 
     def _request_report(self, tenure: Tenure) -> None:
         now_s = self._context.now_s
-        wanted_s = tenure.ledger.wanted_report_s
+        wanted_s = tenure.ledger.required_report_s
         in_doubt = tenure.reported_s <= wanted_s < now_s
         old = now_s - tenure.reported_s >= REPORT_MAX_AGE_S
         requested = now_s - tenure.report_requested_s < RETRY_INTERVAL_S
