--- a/packages/core/src/knapweedbridge_core/grant_side.py
+++ b/packages/core/src/knapweedbridge_core/grant_side.py
@@ -114,13 +114,13 @@
             key, _HolderRequest(tenure.takeover.began_s, now_s)
         )
         request.answered = True
-        if host in tenure.takeover.unheard:
+        if host in tenure.takeover.pending_holders:
             held = zip(message.models, message.attempts, strict=True)
             for model, attempt_id in held:
                 tenure.ledger.held(model, attempt_id, host, now_s)
             if not tenure.checks_fencing:
                 tenure.takeover.quarantine(message.quarantined, now_s)
-            tenure.takeover.unheard.discard(host)
+            tenure.takeover.pending_holders.discard(host)
         else:
             tenure.ledger.keep_only(host, set(message.attempts), request.since_s)
 
@@ -142,15 +142,15 @@
         tenure = self._owned.tenures.get(key.endpoint)
         if tenure is None or tenure.number != key.number:
             return False
-        unheard = key.host in tenure.takeover.unheard
-        return unheard or key.host in tenure.ledger.holders(self._context.now_s)
+        pending_holders = key.host in tenure.takeover.pending_holders
+        return pending_holders or key.host in tenure.ledger.holders(self._context.now_s)
 
     def _request_due(self, tenure: Tenure, alive: set[str]) -> set[str]:
         """Ask the holders that are due; return those that have not answered."""
         now_s = self._context.now_s
         old = tenure.ledger.holders(now_s - RECONCILE_INTERVAL_S)
         silent: set[str] = set()
-        for host in sorted(old | tenure.takeover.unheard):
+        for host in sorted(old | tenure.takeover.pending_holders):
             key = _RequestKey(tenure.endpoint, tenure.number, host)
             request = self._requests.setdefault(key, _HolderRequest(now_s))
             if request.answered and now_s - request.sent_s >= RECONCILE_INTERVAL_S:
@@ -184,5 +184,5 @@
         self._polled_s.pop(host, None)
         self._context.record("holder.dead", holder=host)
         for tenure in self._owned.tenures.values():
-            tenure.takeover.unheard.discard(host)
+            tenure.takeover.pending_holders.discard(host)
             tenure.ledger.orphan(host, self._context.now_s)
--- a/packages/core/src/knapweedbridge_core/owner_side.py
+++ b/packages/core/src/knapweedbridge_core/owner_side.py
@@ -157,7 +157,7 @@
     def _request_held_grants(self, tenure: Tenure) -> None:
         alive = {peer.name for peer in self._context.members.peers()}
         request = messages.HeldGrantsRequest(tenure.endpoint, tenure.number)
-        for host in sorted(tenure.takeover.unheard):
+        for host in sorted(tenure.takeover.pending_holders):
             if host in alive or host == self._context.host:
                 self._context.send(host, request)
 
--- a/packages/core/src/knapweedbridge_core/takeover.py
+++ b/packages/core/src/knapweedbridge_core/takeover.py
@@ -43,7 +43,7 @@
         When it claimed.
     settled_s : float
         Before this nothing is evicted.
-    unheard : set of str
+    pending_holders : set of str
         Daemons that may hold grants and have not told.
     quarantined : dict of AdapterVersion to float
         Names that a late eviction may hit, and until when they are kept away.
@@ -51,13 +51,13 @@
 
     began_s: float = -inf
     settled_s: float = -inf
-    unheard: set[str] = field(default_factory=set)
+    pending_holders: set[str] = field(default_factory=set)
     quarantined: dict[AdapterVersion, float] = field(default_factory=dict)
 
     @property
     def is_collected(self) -> bool:
         """Tell whether all holders told what they hold, or are dead."""
-        return not self.unheard
+        return not self.pending_holders
 
     def quarantine(self, models: list[AdapterVersion], now_s: float) -> None:
         """Keep names away that an earlier owner may have ordered to evict."""
