--- a/packages/core/src/knapweedbridge_core/loads.py
+++ b/packages/core/src/knapweedbridge_core/loads.py
@@ -134,7 +134,7 @@
 
     def used(self, model: AdapterVersion, requests: float, now_s: float) -> None:
         """Note requests for an adapter, loaded or not."""
-        self._slots.demand_changed()
+        self._slots.clear_worths()
         self.forecast.used(model, requests, now_s)
 
     def wanted(
--- a/packages/core/src/knapweedbridge_core/slot_survey.py
+++ b/packages/core/src/knapweedbridge_core/slot_survey.py
@@ -36,7 +36,7 @@
         self._worths: dict[tuple[AdapterVersion, int], float] = {}
         self._worths_s = -math.inf
 
-    def demand_changed(self) -> None:
+    def clear_worths(self) -> None:
         """Drop the worths that are kept, as new requests change them."""
         self._worths_s = -math.inf
 
