--- a/bench/placement_model.py
+++ b/bench/placement_model.py
@@ -219,7 +219,7 @@
         for model, count in self._uses.items():
             self._order.used(model, count, now_s)
         self._uses.clear()
-        self._order.note_fill(self.pool, now_s)
+        self._order.record_batch_fill(self.pool, now_s)
         self._at(now_s + TELL_USES_S, self._tell_uses)
         self._start(now_s)
 
--- a/packages/core/src/knapweedbridge_core/load_side.py
+++ b/packages/core/src/knapweedbridge_core/load_side.py
@@ -47,7 +47,7 @@
         self._take_policy()
         if load_orderer(self._context) != self._context.host:
             return
-        self.load_order.note_fill(self._pool(), self._context.now_s)
+        self.load_order.record_batch_fill(self._pool(), self._context.now_s)
         self._refuse_given_up()
         self._start_loads()
 
--- a/packages/core/src/knapweedbridge_core/loads.py
+++ b/packages/core/src/knapweedbridge_core/loads.py
@@ -329,7 +329,7 @@
             if not waits and not pool.copies(model):
                 yield model
 
-    def note_fill(self, pool: Pool, now_s: float) -> None:
+    def record_batch_fill(self, pool: Pool, now_s: float) -> None:
         """See which adapter versions need another copy, or one fewer."""
         fills = {
             entry.name: pool.view.endpoints[entry.name].running / entry.batch
