--- a/bench/mutants.py
+++ b/bench/mutants.py
@@ -54,11 +54,11 @@
     harmless_since: str = ""
 
 
-def _no_report_time(reported: Callable[..., None]) -> Callable[..., None]:
+def _no_report_time(apply_report: Callable[..., None]) -> Callable[..., None]:
     def any_report(
         self: Ledger, loaded: Any, running: Any, taken_s: float, now_s: float
     ) -> None:
-        reported(self, loaded, running, inf, now_s)
+        apply_report(self, loaded, running, inf, now_s)
 
     return any_report
 
@@ -108,7 +108,7 @@
         (Owners, "_claimed", _claim_again)
     ],
     "report older than the event accepted": [
-        (Ledger, "reported", _no_report_time(Ledger.reported))
+        (Ledger, "apply_report", _no_report_time(Ledger.apply_report))
     ],
     "dead holder's grants dropped without a report": [
         (Ledger, "orphan", _forget_orphans)
