--- a/packages/core/src/knapweedbridge_core/demand_side.py
+++ b/packages/core/src/knapweedbridge_core/demand_side.py
@@ -6,7 +6,7 @@
 from knapweedbridge_core import events, messages
 from knapweedbridge_core.context import Context, Handler, Side
 from knapweedbridge_core.forecast import ChangeAware
-from knapweedbridge_core.load_side import load_coordinator
+from knapweedbridge_core.load_side import load_order_coordinator
 from knapweedbridge_core.names import AdapterVersion
 from knapweedbridge_core.outcomes import NotRun, Reason
 from knapweedbridge_core.request_side import RequestSide
@@ -109,14 +109,14 @@
         )
 
     def _want(self, wanted: messages.LoadWanted) -> None:
-        orderer = load_coordinator(self._context)
+        orderer = load_order_coordinator(self._context)
         if orderer is None:
             return
         self._context.record("load.wanted", model=str(wanted.model), to=orderer)
         self._context.send(orderer, wanted)
 
     def _follow_orderer(self) -> None:
-        orderer = load_coordinator(self._context)
+        orderer = load_order_coordinator(self._context)
         if orderer is None or orderer == self._orderer:
             return
         # The new load order starts with no counts: it learns each daemon's
--- a/packages/core/src/knapweedbridge_core/load_side.py
+++ b/packages/core/src/knapweedbridge_core/load_side.py
@@ -12,7 +12,7 @@
 LOAD_ORDER_ROLE = "load-order"
 
 
-def load_coordinator(context: Context) -> str | None:
+def load_order_coordinator(context: Context) -> str | None:
     """Name the daemon that keeps the pool's order of loads."""
     return context.members.choose(LOAD_ORDER_ROLE)
 
@@ -45,7 +45,7 @@
 
     def _tick(self, event: events.Tick) -> None:
         self._take_policy()
-        if load_coordinator(self._context) != self._context.host:
+        if load_order_coordinator(self._context) != self._context.host:
             return
         self.load_order.record_batch_fill(self._pool(), self._context.now_s)
         self._refuse_given_up()
@@ -105,7 +105,7 @@
 
     def _order_ended(self, event: events.OrderEnded) -> None:
         # This daemon is the owner here; its word goes ahead of LoadEnded.
-        orderer = load_coordinator(self._context)
+        orderer = load_order_coordinator(self._context)
         if event.kind == "load" and not event.succeeded and orderer is not None:
             failed = messages.LoadFailed(event.model, event.endpoint)
             self._context.send(orderer, failed)
@@ -140,7 +140,10 @@
 
     def _start_loads(self) -> None:
         # Another daemon that keeps the order as well would use the rate twice.
-        if load_coordinator(self._context) != self._context.host or self._starting:
+        if (
+            load_order_coordinator(self._context) != self._context.host
+            or self._starting
+        ):
             return
         self._starting = True
         pool = self._pool()
