--- a/packages/core/src/knapweedbridge_core/demand_side.py
+++ b/packages/core/src/knapweedbridge_core/demand_side.py
@@ -109,25 +109,25 @@
         )
 
     def _want(self, wanted: messages.LoadWanted) -> None:
-        orderer = load_order_coordinator(self._context)
-        if orderer is None:
+        coordinator = load_order_coordinator(self._context)
+        if coordinator is None:
             return
-        self._context.record("load.wanted", model=str(wanted.model), to=orderer)
-        self._context.send(orderer, wanted)
+        self._context.record("load.wanted", model=str(wanted.model), to=coordinator)
+        self._context.send(coordinator, wanted)
 
     def _follow_orderer(self) -> None:
-        orderer = load_order_coordinator(self._context)
-        if orderer is None or orderer == self._orderer:
+        coordinator = load_order_coordinator(self._context)
+        if coordinator is None or coordinator == self._orderer:
             return
         # The new load order starts with no counts: it learns each daemon's
         # largest, and the waiters at once.
-        self._orderer = orderer
+        self._orderer = coordinator
         self._asked.clear()
         counts = self._own.summary(self._context.now_s, MOST_COUNTS_TOLD)
         if counts:
             age_s = self._own.age_s(self._context.now_s)
             told = messages.CountsTold([list(pair) for pair in counts], age_s)
-            self._context.send(orderer, told)
+            self._context.send(coordinator, told)
 
     def _tell_uses(self) -> None:
         self._told_s = self._context.now_s
--- a/packages/core/src/knapweedbridge_core/load_messages.py
+++ b/packages/core/src/knapweedbridge_core/load_messages.py
@@ -34,7 +34,7 @@
     model: AdapterVersion
     endpoint: str
     victim: AdapterVersion | None
-    orderer: str
+    coordinator: str
 
 
 @message
--- a/packages/core/src/knapweedbridge_core/load_side.py
+++ b/packages/core/src/knapweedbridge_core/load_side.py
@@ -105,10 +105,10 @@
 
     def _order_ended(self, event: events.OrderEnded) -> None:
         # This daemon is the owner here; its word goes ahead of LoadEnded.
-        orderer = load_order_coordinator(self._context)
-        if event.kind == "load" and not event.succeeded and orderer is not None:
+        coordinator = load_order_coordinator(self._context)
+        if event.kind == "load" and not event.succeeded and coordinator is not None:
             failed = messages.LoadFailed(event.model, event.endpoint)
-            self._context.send(orderer, failed)
+            self._context.send(coordinator, failed)
 
     def _load_failed(self, message: messages.LoadFailed) -> None:
         self.load_order.failed(message.model, message.endpoint, self._context.now_s)
--- a/packages/core/src/knapweedbridge_core/order_side.py
+++ b/packages/core/src/knapweedbridge_core/order_side.py
@@ -205,4 +205,4 @@
         placed = self._placed.pop((endpoint, model), None)
         if placed is not None:
             ended = messages.LoadEnded(model, endpoint, loaded)
-            self._context.send(placed.orderer, ended)
+            self._context.send(placed.coordinator, ended)
