--- a/features/placement/steps/load_steps.py
+++ b/features/placement/steps/load_steps.py
@@ -268,6 +268,6 @@
 @when("the owner keeps it")
 def keeps(context):
     wanted = context.wanted
-    context.bench.order.slot_declined(
+    context.bench.order.record_slot_declined(
         wanted.endpoint, wanted.victim, context.bench.now_s
     )
--- a/packages/core/src/knapweedbridge_core/load_side.py
+++ b/packages/core/src/knapweedbridge_core/load_side.py
@@ -161,7 +161,7 @@
             self._context.send(owner, wanted)
 
     def _slot_declined(self, message: messages.SlotDeclined) -> None:
-        self.load_order.slot_declined(
+        self.load_order.record_slot_declined(
             message.endpoint, message.victim, self._context.now_s
         )
         self._start_loads()
--- a/packages/core/src/knapweedbridge_core/loads.py
+++ b/packages/core/src/knapweedbridge_core/loads.py
@@ -201,7 +201,7 @@
         self._slot_asked_s = now_s
         return SlotWanted(chosen.endpoint, chosen.victim)
 
-    def slot_declined(
+    def record_slot_declined(
         self, endpoint: str, victim: AdapterVersion, now_s: float
     ) -> None:
         """Note that a slot is pinned, so that another one is asked for."""
