--- a/bench/placement_model.py
+++ b/bench/placement_model.py
@@ -316,7 +316,7 @@
             self._order.loaded(placed.model, now_s)
             for arrival in self._waiting.pop(placed.model, []):
                 self._serve(now_s, engine, arrival)
-        for _, refusal in self._order.given_up(now_s):
+        for _, refusal in self._order.suspended_refusals(now_s):
             self._refuse(now_s, refusal)
         self._start(now_s)
 
--- a/features/placement/steps/load_steps.py
+++ b/features/placement/steps/load_steps.py
@@ -167,7 +167,7 @@
         if bench.start() is not None:
             context.tried += 1
             bench.order.failed(bench.placed.model, bench.placed.endpoint, bench.now_s)
-        context.told = bench.order.given_up(bench.now_s)
+        context.told = bench.order.suspended_refusals(bench.now_s)
         assert context.tried < 10
 
 
--- a/packages/core/src/knapweedbridge_core/load_side.py
+++ b/packages/core/src/knapweedbridge_core/load_side.py
@@ -125,7 +125,7 @@
             forecast.learn(counts, message.age_s, self._context.now_s)
 
     def _refuse_given_up(self) -> None:
-        for host, refusal in self.load_order.given_up(self._context.now_s):
+        for host, refusal in self.load_order.suspended_refusals(self._context.now_s):
             self._refuse(host, refusal)
 
     def _refuse(self, host: str, refusal: Refusal) -> None:
--- a/packages/core/src/knapweedbridge_core/loads.py
+++ b/packages/core/src/knapweedbridge_core/loads.py
@@ -223,7 +223,7 @@
         self._under_way.pop(model, None)
         self._failed.failed(model, endpoint, now_s)
 
-    def given_up(self, now_s: float) -> list[tuple[str, Refusal]]:
+    def suspended_refusals(self, now_s: float) -> list[tuple[str, Refusal]]:
         """Return the daemons to tell that a version fails again and again."""
         told = []
         for model in self._failed.suspended(now_s):
