--- a/packages/core/src/knapweedbridge_core/demand_side.py
+++ b/packages/core/src/knapweedbridge_core/demand_side.py
@@ -138,7 +138,7 @@
         ranked = sorted(self._uses.items(), key=lambda use: (-use[1], use[0]))
         uses = [list(use) for use in ranked[:MOST_USES_TOLD]]
         self._uses.clear()
-        self._context.send(self._orderer, messages.UsesTold(uses))
+        self._context.send(self._orderer, messages.UsageReport(uses))
 
     def _load_refused(self, message: messages.LoadRefused) -> None:
         retry_after_s = max(SHORTEST_RETRY_AFTER_S, message.retry_after_s)
--- a/packages/core/src/knapweedbridge_core/load_messages.py
+++ b/packages/core/src/knapweedbridge_core/load_messages.py
@@ -74,8 +74,8 @@
     endpoint: str
 
 
-@message
-class UsesTold:
+@message(tag="UsesTold")
+class UsageReport:
     """What a daemon's callers asked for since it last told the load order.
 
     Parameters
--- a/packages/core/src/knapweedbridge_core/load_side.py
+++ b/packages/core/src/knapweedbridge_core/load_side.py
@@ -39,7 +39,7 @@
             messages.LoadEnded: self._load_ended,
             messages.LoadFailed: self._load_failed,
             messages.SlotDeclined: self._slot_declined,
-            messages.UsesTold: self._uses_told,
+            messages.UsageReport: self._uses_told,
             messages.CountsTold: self._counts_told,
         }
 
@@ -114,7 +114,7 @@
         self.load_order.failed(message.model, message.endpoint, self._context.now_s)
         self._refuse_given_up()
 
-    def _uses_told(self, message: messages.UsesTold) -> None:
+    def _uses_told(self, message: messages.UsageReport) -> None:
         for model, count in message.uses:
             self.load_order.used(model, count, self._context.now_s)
 
--- a/packages/core/src/knapweedbridge_core/messages.py
+++ b/packages/core/src/knapweedbridge_core/messages.py
@@ -39,7 +39,7 @@
     LoadWanted,
     SlotDeclined,
     SlotWanted,
-    UsesTold,
+    UsageReport,
 )
 from knapweedbridge_core.membership_messages import (
     Heartbeat,
@@ -104,7 +104,7 @@
     "SlotDeclined",
     "SlotWanted",
     "EndpointUpdate",
-    "UsesTold",
+    "UsageReport",
     "decode",
     "encode",
     "unpacker",
