--- a/packages/core/src/knapweedbridge_core/demand_side.py
+++ b/packages/core/src/knapweedbridge_core/demand_side.py
@@ -126,7 +126,7 @@
         counts = self._own.summary(self._context.now_s, MOST_COUNTS_TOLD)
         if counts:
             age_s = self._own.age_s(self._context.now_s)
-            told = messages.CountsTold([list(pair) for pair in counts], age_s)
+            told = messages.CountsReport([list(pair) for pair in counts], age_s)
             self._context.send(coordinator, told)
 
     def _tell_uses(self) -> None:
--- a/packages/core/src/knapweedbridge_core/load_messages.py
+++ b/packages/core/src/knapweedbridge_core/load_messages.py
@@ -87,8 +87,8 @@
     uses: list[Any]
 
 
-@message
-class CountsTold:
+@message(tag="CountsTold")
+class CountsReport:
     """A daemon's own long counts, for a load order that begins anew.
 
     Parameters
--- a/packages/core/src/knapweedbridge_core/load_side.py
+++ b/packages/core/src/knapweedbridge_core/load_side.py
@@ -40,7 +40,7 @@
             messages.LoadFailed: self._load_failed,
             messages.SlotDeclined: self._slot_declined,
             messages.UsageReport: self._uses_told,
-            messages.CountsTold: self._counts_told,
+            messages.CountsReport: self._counts_told,
         }
 
     def _tick(self, event: events.Tick) -> None:
@@ -118,7 +118,7 @@
         for model, count in message.uses:
             self.load_order.used(model, count, self._context.now_s)
 
-    def _counts_told(self, message: messages.CountsTold) -> None:
+    def _counts_told(self, message: messages.CountsReport) -> None:
         forecast = self.load_order.forecast
         if isinstance(forecast, ChangeAware):
             counts = [(model, count) for model, count in message.counts]
--- a/packages/core/src/knapweedbridge_core/messages.py
+++ b/packages/core/src/knapweedbridge_core/messages.py
@@ -31,7 +31,7 @@
     GrantReturned,
 )
 from knapweedbridge_core.load_messages import (
-    CountsTold,
+    CountsReport,
     LoadEnded,
     LoadFailed,
     LoadPlaced,
@@ -72,7 +72,7 @@
     "ConfigurationRequest",
     "ConfigurationDelta",
     "ConfigurationRoot",
-    "CountsTold",
+    "CountsReport",
     "EvictionIntent",
     "EvictionIntentAcknowledged",
     "EvictionFinished",
