--- a/bench/placement_model.py
+++ b/bench/placement_model.py
@@ -23,7 +23,7 @@
 
 STEP_S = 0.02
 TOKENS = (50, 150)
-TELL_USES_S = 1.0
+USE_REPORT_INTERVAL_S = 1.0
 DEADLINE_S = 5.0
 HISTORY_S = 7200.0
 
@@ -220,7 +220,7 @@
             self._order.used(model, count, now_s)
         self._uses.clear()
         self._order.record_batch_fill(self.pool, now_s)
-        self._at(now_s + TELL_USES_S, self._tell_uses)
+        self._at(now_s + USE_REPORT_INTERVAL_S, self._tell_uses)
         self._start(now_s)
 
     def _arrive(self, now_s: float, arrival: Arrival) -> None:
--- a/packages/core/src/knapweedbridge_core/demand_side.py
+++ b/packages/core/src/knapweedbridge_core/demand_side.py
@@ -13,7 +13,7 @@
 from knapweedbridge_core.requests import LiveRequest
 
 WANT_AGAIN_S = 1.0
-TELL_USES_S = 1.0
+USE_REPORT_INTERVAL_S = 1.0
 MOST_USES_TOLD = 64
 MOST_COUNTS_TOLD = 256
 SHORTEST_RETRY_AFTER_S = 1.0
@@ -79,7 +79,7 @@
         self._asked = {m: asked for m, asked in self._asked.items() if m in waiting}
         live = self._requests.live
         self._since_s = {key: at for key, at in self._since_s.items() if key in live}
-        if self._context.now_s - self._told_s >= TELL_USES_S:
+        if self._context.now_s - self._told_s >= USE_REPORT_INTERVAL_S:
             self._tell_uses()
 
     def _waiting(self) -> dict[AdapterVersion, list[LiveRequest]]:
