--- a/bench/placement.py
+++ b/bench/placement.py
@@ -330,7 +330,7 @@
         placed = order.next_load(run.pool, now_s)
         spent_s += time.perf_counter() - started_s
         if placed is not None:
-            order.declined(placed.model, 3.0, now_s)
+            order.record_declined(placed.model, 3.0, now_s)
     return spent_s / 200 * 1e6
 
 
--- a/bench/placement_model.py
+++ b/bench/placement_model.py
@@ -293,7 +293,9 @@
             engine = self.engines[placed.endpoint]
             if placed.victim is not None:
                 if engine.pins.get(placed.victim):
-                    self._order.declined(placed.model, self.pool.loads_per_s, now_s)
+                    self._order.record_declined(
+                        placed.model, self.pool.loads_per_s, now_s
+                    )
                     continue
                 engine.loaded.discard(placed.victim)
                 self.publish(engine)
--- a/features/placement/steps/load_steps.py
+++ b/features/placement/steps/load_steps.py
@@ -146,7 +146,7 @@
 @when("the owner declines it")
 def declines(context):
     bench = context.bench
-    bench.order.declined(bench.placed.model, bench.pool.loads_per_s, bench.now_s)
+    bench.order.record_declined(bench.placed.model, bench.pool.loads_per_s, bench.now_s)
 
 
 @when("it fails")
--- a/packages/core/src/knapweedbridge_core/load_side.py
+++ b/packages/core/src/knapweedbridge_core/load_side.py
@@ -100,7 +100,9 @@
             # A load that the endpoint failed was told by LoadFailed before:
             # this one was not started.
             loads_per_s = self._context.configuration.loads_per_s
-            self.load_order.declined(message.model, loads_per_s, self._context.now_s)
+            self.load_order.record_declined(
+                message.model, loads_per_s, self._context.now_s
+            )
         self._start_loads()
 
     def _order_ended(self, event: events.OrderEnded) -> None:
--- a/packages/core/src/knapweedbridge_core/loads.py
+++ b/packages/core/src/knapweedbridge_core/loads.py
@@ -208,7 +208,9 @@
         self._slots.pinned(endpoint, victim, now_s)
         self._slot_asked_s = -math.inf
 
-    def declined(self, model: AdapterVersion, loads_per_s: float, now_s: float) -> None:
+    def record_declined(
+        self, model: AdapterVersion, loads_per_s: float, now_s: float
+    ) -> None:
         """Note that an owner did not start a load, as by a pinned victim."""
         load = self._under_way.pop(model, None)
         if load is None:
