--- a/features/placement/steps/decision_steps.py
+++ b/features/placement/steps/decision_steps.py
@@ -88,7 +88,7 @@
     context.needed = []
     held = 1
     for fill in fills.split():
-        copies.note(model, [float(fill)] * held)
+        copies.record_fills(model, [float(fill)] * held)
         held = copies.needed(model)
         context.needed.append(held)
 
--- a/packages/core/src/knapweedbridge_core/copies.py
+++ b/packages/core/src/knapweedbridge_core/copies.py
@@ -12,7 +12,7 @@
     """Decides which adapter versions get a second copy."""
 
     @abstractmethod
-    def note(self, model: AdapterVersion, fills: list[float]) -> None:
+    def record_fills(self, model: AdapterVersion, fills: list[float]) -> None:
         """Take how full the batches of all endpoints that hold it are.
 
         Parameters
@@ -31,7 +31,7 @@
 class OneCopy(Copies):
     """Never a second copy."""
 
-    def note(self, model: AdapterVersion, fills: list[float]) -> None:
+    def record_fills(self, model: AdapterVersion, fills: list[float]) -> None:
         """See `Copies.note`."""
 
     def needed(self, model: AdapterVersion) -> int:
@@ -59,7 +59,7 @@
         self._relaxes_at = relaxes_at
         self._needed: dict[AdapterVersion, int] = {}
 
-    def note(self, model: AdapterVersion, fills: list[float]) -> None:
+    def record_fills(self, model: AdapterVersion, fills: list[float]) -> None:
         """See `Copies.note`."""
         if not fills:
             self._needed.pop(model, None)
--- a/packages/core/src/knapweedbridge_core/loads.py
+++ b/packages/core/src/knapweedbridge_core/loads.py
@@ -352,7 +352,7 @@
                 )
         for model in noted:
             holders = [name for name in pool.holders(model) if name in fills]
-            self._copies.note(model, [fills[name] for name in holders])
+            self._copies.record_fills(model, [fills[name] for name in holders])
 
     def _keep_house(self, view: View, now_s: float) -> None:
         if now_s - self._kept_house_s < HOUSEKEEPING_S:
