--- a/features/software_versions/steps/decision_steps.py
+++ b/features/software_versions/steps/decision_steps.py
@@ -17,7 +17,7 @@
     StreamOrigin,
     VersionView,
     WeightedService,
-    origin_keepers,
+    origin_coordinators,
     understands,
 )
 from knapweedbridge_core.serving.origin_messages import (
@@ -94,7 +94,7 @@
         name: centre for centre, each in context.candidates.items() for name in each
     }
     for stream in STREAMS:
-        found = origin_keepers(stream, context.candidates)
+        found = origin_coordinators(stream, context.candidates)
         assert len(set(found)) == len(found) == keepers, found
         reached = {centre_of[name] for name in found}
         assert len(reached) == min(keepers, len(context.candidates)), found
@@ -104,7 +104,7 @@
 def shares_are_even(context, over, streams):
     kept = Counter()
     for stream in STREAMS[:streams]:
-        kept.update(origin_keepers(stream, context.candidates))
+        kept.update(origin_coordinators(stream, context.candidates))
     hosts = sum(map(len, context.candidates.values()))
     assert max(kept.values()) <= over * kept.total() / hosts, kept.most_common(3)
 
@@ -118,8 +118,8 @@
         for centre, each in context.candidates.items()
     }
     for stream in STREAMS:
-        before = set(origin_keepers(stream, context.candidates))
-        after = set(origin_keepers(stream, left))
+        before = set(origin_coordinators(stream, context.candidates))
+        after = set(origin_coordinators(stream, left))
         assert before - {gone} <= after, (stream, before, after)
         assert gone in before or before == after, (stream, before, after)
 
--- a/packages/core/src/knapweedbridge_core/serving/__init__.py
+++ b/packages/core/src/knapweedbridge_core/serving/__init__.py
@@ -129,7 +129,7 @@
     OriginTable,
     StreamOrigin,
     VersionView,
-    origin_keepers,
+    origin_coordinators,
 )
 from knapweedbridge_core.serving.suspect_parts import LostCall, refusal_key
 
@@ -240,7 +240,7 @@
     "may_claim",
     "may_retry",
     "nearest_first",
-    "origin_keepers",
+    "origin_coordinators",
     "parse_model",
     "permit_coordinator",
     "ranked",
--- a/packages/core/src/knapweedbridge_core/serving/stream_origins.py
+++ b/packages/core/src/knapweedbridge_core/serving/stream_origins.py
@@ -89,7 +89,9 @@
         ]
 
 
-def origin_keepers(stream: str, candidates: Mapping[str, Sequence[str]]) -> list[str]:
+def origin_coordinators(
+    stream: str, candidates: Mapping[str, Sequence[str]]
+) -> list[str]:
     """Return the hosts that keep a stream's origin, in a fixed order.
 
     Parameters
--- a/packages/daemon/src/knapweedbridge_daemon/serving/stream_resumer.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/stream_resumer.py
@@ -12,7 +12,7 @@
     OriginTable,
     StreamOrigin,
     VersionView,
-    origin_keepers,
+    origin_coordinators,
     understands,
 )
 from knapweedbridge_core.serving.origin_messages import (
@@ -163,7 +163,7 @@
         rows: dict[str, list[list]] = defaultdict(list)
         for stream, origin in streams:
             row = [stream, origin.service, origin.software, origin.until_s - now_s]
-            for coordinator in origin_keepers(stream, candidates):
+            for coordinator in origin_coordinators(stream, candidates):
                 rows[coordinator].append(row)
         self._hub.metrics.count("stream_origins_recorded", value=len(streams))
         for coordinator, its_rows in rows.items():
@@ -311,7 +311,7 @@
         self, call: Call, query: OriginQuery, request: OriginRequest
     ) -> None:
         """Ask the coordinators of a call's stream that have not answered yet."""
-        coordinators = origin_keepers(call.details.stream_id, self._candidates())
+        coordinators = origin_coordinators(call.details.stream_id, self._candidates())
         others = [name for name in coordinators if name != self._hub.identity.name]
         for name in query.ask(others):
             await self._send(name, request)
