--- a/packages/core/src/knapweedbridge_core/serving/pool.py
+++ b/packages/core/src/knapweedbridge_core/serving/pool.py
@@ -34,7 +34,7 @@
 RELAYS = 2
 """Relays per data centre: the failure of one may go unnoticed for a second."""
 
-QUOTA_KEEPERS = 4
+QUOTA_COORDINATORS = 4
 """Daemons per data centre that keep parts of client accounts' quotas."""
 
 
@@ -59,7 +59,7 @@
 
 def _first(data_centre: str, names: list[str]) -> list[str]:
     names.sort(key=lambda name: score(data_centre, name), reverse=True)
-    return names[: RELAYS + QUOTA_KEEPERS]
+    return names[: RELAYS + QUOTA_COORDINATORS]
 
 
 def relays(ranks: dict[str, list[str]]) -> dict[str, list[str]]:
