--- a/packages/core/src/knapweedbridge_core/serving/stream_origins.py
+++ b/packages/core/src/knapweedbridge_core/serving/stream_origins.py
@@ -12,7 +12,7 @@
 
 from knapweedbridge_core.rendezvous import choose_spread
 
-KEEPERS = 3
+ORIGIN_COORDINATORS = 3
 """Hosts that keep the origin of one stream, in as many data centres as there are."""
 
 MOST_KEPT = 100_000
@@ -99,7 +99,7 @@
     candidates : dict of str to sequence of str
         Hosts that may keep origins, by data centre.
     """
-    return choose_spread(stream, candidates, KEEPERS)
+    return choose_spread(stream, candidates, ORIGIN_COORDINATORS)
 
 
 @dataclass(slots=True, frozen=True)
