--- a/features/load/steps/pacing_steps.py
+++ b/features/load/steps/pacing_steps.py
@@ -180,7 +180,7 @@
 
 @when("streams of another engine paused too long")
 def another_engine(context):
-    context.pacer.heard([0.0, 1.0])
+    context.pacer.adopt_scales([0.0, 1.0])
 
 
 @then("its budget applies here, until pauses here show another one")
@@ -190,7 +190,7 @@
     assert context.pacer.measured_scale == 0
     paused(context, 0.3)
     assert context.pacer.measured_scale == 1.0
-    context.pacer.heard([3.0])
+    context.pacer.adopt_scales([3.0])
     assert context.pacer.budget_tokens == reading, context.pacer.budget_tokens
 
 
--- a/packages/core/src/knapweedbridge_core/serving/prompt_pacing.py
+++ b/packages/core/src/knapweedbridge_core/serving/prompt_pacing.py
@@ -345,7 +345,7 @@
         """Scale that pauses of its own streams have shown; 0: there were none."""
         return self._scale if self._shrunk_s > -math.inf else 0.0
 
-    def heard(self, scales: Iterable[float]) -> None:
+    def adopt_scales(self, scales: Iterable[float]) -> None:
         """Adopt the scales of other engines of the service.
 
         They apply as long as this engine's own streams have not paused.
--- a/packages/daemon/src/knapweedbridge_daemon/serving/turn_scheduler.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/turn_scheduler.py
@@ -113,7 +113,7 @@
             self._pacer.token_s = token_s * self._speed.slow_period_ratio(now_s)
             if not self._pacer.measured_scale:
                 paced = self._hub.cluster.fleet.paced
-                self._pacer.heard(paced.scales(self._endpoint, now_s))
+                self._pacer.adopt_scales(paced.scales(self._endpoint, now_s))
             self._long_prompts.pace_scale = self._pacer.measured_scale
         self._long_prompts.pace_tokens = self._pacer.budget_tokens
 
--- a/packages/standins/src/knapweedbridge_standins/serving_load/owner.py
+++ b/packages/standins/src/knapweedbridge_standins/serving_load/owner.py
@@ -76,7 +76,7 @@
             times = self.keeper.speed.slow_period_ratio(self._pool.clock.now_s)
             self._pacer.token_s = token_s * times
             others = (e.pace_scale for n, e in engines.items() if n != self._name)
-            self._pacer.heard(others)
+            self._pacer.adopt_scales(others)
             self.keeper.long_prompts.pace_scale = self._pacer.measured_scale
         self.keeper.long_prompts.pace_tokens = self._pacer.budget_tokens
 
