--- a/features/serving/steps/decision_steps.py
+++ b/features/serving/steps/decision_steps.py
@@ -174,8 +174,8 @@
         engine(context, name).others_unread_tokens = tokens
 
 
-def place(context, model, versions=None, patience_s=math.inf):
-    ask = PlacementRequest(parse_model(model), versions, "d1", patience_s=patience_s)
+def place(context, model, versions=None, max_wait_s=math.inf):
+    ask = PlacementRequest(parse_model(model), versions, "d1", max_wait_s=max_wait_s)
     engines_now = context.fleet.reachable("llm", NOW_S)
     context.choice = LeastCostPlacement().choose(ask, engines_now, NOW_S)
     return context.choice
@@ -188,7 +188,7 @@
 
 @when('a call for "{model}" with {patience:g} s of patience is placed')
 def placed_patiently(context, model, patience):
-    place(context, model, patience_s=patience)
+    place(context, model, max_wait_s=patience)
 
 
 @when('a call for "m/x" is placed, of which {namings}')
@@ -201,12 +201,12 @@
     place_named(context, namings, patience)
 
 
-def place_named(context, namings, patience_s):
+def place_named(context, namings, max_wait_s):
     named = NamedVersions()
     for naming in namings.split(" and "):
         version, ago_s = naming.replace(" was named", "").removesuffix(" s ago").split()
         named.take(int(version), NOW_S - float(ago_s))
-    place(context, "m/x", ServableVersions(named, NOW_S, BOUND_S), patience_s)
+    place(context, "m/x", ServableVersions(named, NOW_S, BOUND_S), max_wait_s)
 
 
 @then("it is sent to version 1, and the newest is loaded on another engine")
--- a/packages/core/src/knapweedbridge_core/serving/placement.py
+++ b/packages/core/src/knapweedbridge_core/serving/placement.py
@@ -177,8 +177,8 @@
             if older is not None:
                 return older
             choice = LoadOn(best.endpoint)
-        if best.expected_s > ask.patience_s:
-            over_s = best.expected_s - ask.patience_s
+        if best.expected_s > ask.max_wait_s:
+            over_s = best.expected_s - ask.max_wait_s
             return TooLate(over_s, best.endpoint, choice, best.load_s)
         return choice
 
@@ -231,7 +231,7 @@
         if held is None or held.ready_s > now_s or ask.versions is None:
             return False
         first_s = self.rates.first_event_s(endpoint, ask.prompt_tokens, now_s)
-        in_time = first_s <= ask.patience_s
+        in_time = first_s <= ask.max_wait_s
         return in_time and ask.versions.serves(held.version, first_s)
 
     def _cold_s(self, engines: list[Endpoint], now_s: float) -> float:
--- a/packages/core/src/knapweedbridge_core/serving/placement_choices.py
+++ b/packages/core/src/knapweedbridge_core/serving/placement_choices.py
@@ -24,7 +24,7 @@
         Endpoints that refused or failed the call.
     prompt_tokens : int
         Length of the prompt.
-    patience_s : float
+    max_wait_s : float
         Longest acceptable wait from now to the first event.
     """
 
@@ -33,7 +33,7 @@
     data_centre: str
     tried: frozenset[str] = frozenset()
     prompt_tokens: int = 0
-    patience_s: float = math.inf
+    max_wait_s: float = math.inf
 
 
 @dataclass(slots=True, frozen=True)
