--- a/packages/core/src/knapweedbridge_core/copies.py
+++ b/packages/core/src/knapweedbridge_core/copies.py
@@ -1,4 +1,4 @@
-"""How many copies of an adapter version the pool should hold."""
+"""Strategies for the number of copies of an adapter version in the pool."""
 
 from abc import ABC, abstractmethod
 
@@ -9,27 +9,27 @@
 
 
 class Copies(ABC):
-    """Decides which adapter versions get a second copy."""
+    """Decides how many copies of an adapter version the pool holds."""
 
     @abstractmethod
     def record_fills(self, model: AdapterVersion, fills: list[float]) -> None:
-        """Take how full the batches of all endpoints that hold it are.
+        """Record the batch fill of all endpoints that hold an adapter version.
 
         Parameters
         ----------
         model : AdapterVersion
-            A hot adapter version.
+            The adapter version.
         fills : list of float
-            Running requests over the batch limit, one number an endpoint.
+            Running requests divided by the batch limit, one value per endpoint.
         """
 
     @abstractmethod
     def needed(self, model: AdapterVersion) -> int:
-        """Return how many copies are worth a slot."""
+        """Return the number of copies that the pool should hold."""
 
 
 class OneCopy(Copies):
-    """Never a second copy."""
+    """Always holds a single copy."""
 
     def record_fills(self, model: AdapterVersion, fills: list[float]) -> None:
         """See `Copies.note`."""
@@ -40,16 +40,15 @@
 
 
 class BeforeSaturation(Copies):
-    """One copy more while every holder is nearly full.
+    """Adds a copy while every holder is nearly full.
 
-    The two limits lie apart, so that a load near one of them does not load and
-    evict the copy in turns.
+    The gap between the two thresholds is a hysteresis: traffic near one of them
+    does not alternately load and evict a copy.
 
     Parameters
     ----------
     saturates_at, relaxes_at : float
-        Fill of the batch above which a copy is added, and below which one is
-        dropped.
+        Batch fill from which a copy is added, and below which one is dropped.
     """
 
     def __init__(
@@ -76,5 +75,5 @@
 
     @property
     def hot(self) -> list[AdapterVersion]:
-        """Adapter versions that have a second copy, or should."""
+        """Return the adapter versions that need more than one copy."""
         return list(self._needed)
--- a/packages/core/src/knapweedbridge_core/eviction.py
+++ b/packages/core/src/knapweedbridge_core/eviction.py
@@ -1,4 +1,4 @@
-"""What a slot's content is worth, so that the least worth is evicted."""
+"""Cost of evicting an adapter version, by which victims are chosen."""
 
 from abc import ABC, abstractmethod
 
@@ -7,31 +7,31 @@
 
 
 class Eviction(ABC):
-    """Weighs the adapter versions that hold slots."""
+    """Estimates the cost of evicting adapter versions."""
 
     @abstractmethod
     def worth(self, model: AdapterVersion, copies: int, now_s: float) -> float:
-        """Return what evicting one copy costs, in stalled requests a second.
+        """Return the cost of evicting one copy, in stalled requests per second.
 
         Parameters
         ----------
         model : AdapterVersion
-            What the slot holds.
+            The adapter version in the slot.
         copies : int
-            Endpoints of the pool that hold it; evicting one of several stalls
-            nobody.
+            Number of endpoints that hold it; evicting one of several copies stalls
+            no request.
         now_s : float
             The daemon's monotonic clock, in seconds.
         """
 
 
 class LeastExpected(Eviction):
-    """Evicts what the forecast expects least.
+    """Evicts the adapter version with the lowest expected request rate.
 
     Parameters
     ----------
     forecast : Forecast
-        Where the expectation comes from.
+        Source of the expected request rates.
     """
 
     def __init__(self, forecast: Forecast) -> None:
--- a/packages/core/src/knapweedbridge_core/load_messages.py
+++ b/packages/core/src/knapweedbridge_core/load_messages.py
@@ -1,4 +1,4 @@
-"""Messages between daemons, owners and the load order."""
+"""Messages between daemons, owners and the coordinator of loads."""
 
 from typing import Any
 
@@ -8,16 +8,16 @@
 
 @message
 class LoadWanted:
-    """All requests of a daemon that wait for an adapter no endpoint holds.
+    """Requests of a daemon that wait for an adapter that no endpoint holds.
 
     Parameters
     ----------
     waiters : int
-        How many; this replaces what the daemon said before.
+        Number of requests; replaces the daemon's previous report.
     oldest_wait_s : float
-        How long the first has waited.
+        Time for which the oldest request has waited.
     shortest_left_s, longest_left_s : float
-        Time to the first and to the last deadline among them.
+        Time to the earliest and to the latest deadline of these requests.
     """
 
     model: AdapterVersion
@@ -29,7 +29,7 @@
 
 @message
 class LoadPlaced:
-    """The load order chose an endpoint, and a victim if its slots are full."""
+    """Request to an owner to load an adapter, evicting a victim if slots are full."""
 
     model: AdapterVersion
     endpoint: str
@@ -39,7 +39,7 @@
 
 @message
 class LoadEnded:
-    """The owner tells the load order how a load ended."""
+    """Result of a load, from the owner to the coordinator."""
 
     model: AdapterVersion
     endpoint: str
@@ -48,16 +48,16 @@
 
 @message
 class LoadRefused:
-    """The load order cannot load an adapter in time.
+    """Notification that an adapter cannot be loaded in time.
 
     Parameters
     ----------
     reason : str
         An `outcomes.Reason`.
     ready_in_s : float
-        Waiting requests whose deadline is nearer are refused.
+        Time to the end of the load; requests with an earlier deadline are refused.
     retry_after_s : float
-        When their callers should come back.
+        Time after which callers should retry.
     """
 
     model: AdapterVersion
@@ -68,7 +68,7 @@
 
 @message
 class LoadFailed:
-    """An owner ordered a load and the endpoint failed it."""
+    """Notification that a load was started and the endpoint failed it."""
 
     model: AdapterVersion
     endpoint: str
@@ -76,12 +76,12 @@
 
 @message(tag="UsesTold")
 class UsageReport:
-    """What a daemon's callers asked for since it last told the load order.
+    """Requests per adapter version since the daemon's previous report.
 
     Parameters
     ----------
     uses : list of [AdapterVersion, int]
-        The most used, bounded.
+        The most requested versions, limited in number.
     """
 
     uses: list[Any]
@@ -89,14 +89,14 @@
 
 @message(tag="CountsTold")
 class CountsReport:
-    """A daemon's own long counts, for a load order that begins anew.
+    """Long-term request counts of a daemon, for a new coordinator.
 
     Parameters
     ----------
     counts : list of [AdapterVersion, float]
-        The largest, bounded.
+        The largest counts, limited in number.
     age_s : float
-        How long they were kept.
+        Time over which they were collected.
     """
 
     counts: list[Any]
@@ -105,7 +105,7 @@
 
 @message
 class SlotWanted:
-    """The load order wants a slot emptied ahead of its next load."""
+    """Request to an owner to evict a slot ahead of the next load."""
 
     endpoint: str
     victim: AdapterVersion
@@ -113,7 +113,7 @@
 
 @message
 class SlotDeclined:
-    """The owner keeps the slot, as something pins it."""
+    """Response of an owner that a slot is pinned and cannot be evicted."""
 
     endpoint: str
     victim: AdapterVersion
--- a/packages/core/src/knapweedbridge_core/load_side.py
+++ b/packages/core/src/knapweedbridge_core/load_side.py
@@ -1,4 +1,4 @@
-"""The load order: which adapter is loaded next, and where."""
+"""Coordinates loads: receives the demand of daemons and places loads with owners."""
 
 from knapweedbridge_core import events, messages
 from knapweedbridge_core.context import Context, Handler, Side
@@ -13,22 +13,22 @@
 
 
 def load_order_coordinator(context: Context) -> str | None:
-    """Name the daemon that keeps the pool's order of loads."""
+    """Return the daemon that coordinates the loads of the pool."""
     return context.members.choose(LOAD_ORDER_ROLE)
 
 
 class LoadSide(Side):
-    """Takes what callers' sides want, and places loads with owners.
+    """Receives the demand of all daemons, and places loads with owners.
 
-    The queue is rebuilt from the callers' sides, which repeat what they want;
-    so its daemon may die at any moment.
+    Daemons repeat their demand, so the queue is rebuilt by another daemon if the
+    coordinator fails.
     """
 
     def __init__(self, context: Context) -> None:
         super().__init__(context)
         self._policy = context.configuration.placement
         self.load_order = LoadOrder(context.host, self._policy)
-        self._starting = False
+        self._is_starting = False
 
     def handlers(self) -> dict[type, Handler]:
         """See `Side.handlers`."""
@@ -39,19 +39,19 @@
             messages.LoadEnded: self._load_ended,
             messages.LoadFailed: self._load_failed,
             messages.SlotDeclined: self._slot_declined,
-            messages.UsageReport: self._uses_told,
-            messages.CountsReport: self._counts_told,
+            messages.UsageReport: self._uses_reported,
+            messages.CountsReport: self._counts_reported,
         }
 
     def _tick(self, event: events.Tick) -> None:
-        self._take_policy()
+        self._apply_policy()
         if load_order_coordinator(self._context) != self._context.host:
             return
         self.load_order.record_batch_fill(self._pool(), self._context.now_s)
-        self._refuse_given_up()
+        self._refuse_suspended()
         self._start_loads()
 
-    def _take_policy(self) -> None:
+    def _apply_policy(self) -> None:
         policy = self._context.configuration.placement
         if policy == self._policy:
             return
@@ -97,8 +97,8 @@
         if message.loaded:
             self.load_order.loaded(message.model, self._context.now_s)
         else:
-            # A load that the endpoint failed was told by LoadFailed before:
-            # this one was not started.
+            # A failed load was reported by LoadFailed before, so this one was
+            # not started.
             loads_per_s = self._context.configuration.loads_per_s
             self.load_order.record_declined(
                 message.model, loads_per_s, self._context.now_s
@@ -106,7 +106,7 @@
         self._start_loads()
 
     def _order_ended(self, event: events.OrderEnded) -> None:
-        # This daemon is the owner here; its word goes ahead of LoadEnded.
+        # This daemon is the owner. LoadFailed must be sent before LoadEnded.
         coordinator = load_order_coordinator(self._context)
         if event.kind == "load" and not event.succeeded and coordinator is not None:
             failed = messages.LoadFailed(event.model, event.endpoint)
@@ -114,19 +114,19 @@
 
     def _load_failed(self, message: messages.LoadFailed) -> None:
         self.load_order.failed(message.model, message.endpoint, self._context.now_s)
-        self._refuse_given_up()
+        self._refuse_suspended()
 
-    def _uses_told(self, message: messages.UsageReport) -> None:
+    def _uses_reported(self, message: messages.UsageReport) -> None:
         for model, count in message.uses:
             self.load_order.used(model, count, self._context.now_s)
 
-    def _counts_told(self, message: messages.CountsReport) -> None:
+    def _counts_reported(self, message: messages.CountsReport) -> None:
         forecast = self.load_order.forecast
         if isinstance(forecast, ChangeAware):
             counts = [(model, count) for model, count in message.counts]
             forecast.learn(counts, message.age_s, self._context.now_s)
 
-    def _refuse_given_up(self) -> None:
+    def _refuse_suspended(self) -> None:
         for host, refusal in self.load_order.suspended_refusals(self._context.now_s):
             self._refuse(host, refusal)
 
@@ -141,22 +141,22 @@
         self._context.send(host, refused)
 
     def _start_loads(self) -> None:
-        # Another daemon that keeps the order as well would use the rate twice.
+        # If two daemons placed loads, they would use the rate twice.
         if (
             load_order_coordinator(self._context) != self._context.host
-            or self._starting
+            or self._is_starting
         ):
             return
-        self._starting = True
+        self._is_starting = True
         pool = self._pool()
         try:
             while placed := self.load_order.next_load(pool, self._context.now_s):
-                self._send_placed(placed)
-            self._want_slot(pool)
+                self._place_load(placed)
+            self._request_slot(pool)
         finally:
-            self._starting = False
+            self._is_starting = False
 
-    def _want_slot(self, pool: Pool) -> None:
+    def _request_slot(self, pool: Pool) -> None:
         wanted = self.load_order.next_slot(pool, self._context.now_s)
         if wanted is not None:
             owner = self._context.view.endpoints[wanted.endpoint].owner
@@ -168,7 +168,7 @@
         )
         self._start_loads()
 
-    def _send_placed(self, placed: messages.LoadPlaced) -> None:
+    def _place_load(self, placed: messages.LoadPlaced) -> None:
         owner = self._context.view.endpoints[placed.endpoint].owner
         self._context.record(
             "load.placed",
@@ -177,5 +177,5 @@
             victim=str(placed.victim or ""),
             to=owner,
         )
-        # An owner that is this daemon answers within this call.
+        # If this daemon is the owner, the response is handled within this call.
         self._context.send(owner, placed)
--- a/packages/core/src/knapweedbridge_core/placement.py
+++ b/packages/core/src/knapweedbridge_core/placement.py
@@ -1,9 +1,9 @@
-"""Which of the endpoints that hold an adapter serves a request."""
+"""Strategies that choose the endpoint of a request among the adapter's holders."""
 
 from abc import ABC, abstractmethod
 from dataclasses import dataclass
 
-FULL_ENOUGH = 0.75
+MAX_FILL = 0.75
 
 
 @dataclass(slots=True, frozen=True)
@@ -13,11 +13,11 @@
     Parameters
     ----------
     endpoint : str
-        Its name.
+        Name of the endpoint.
     running : int
-        Requests it runs: the owner's last word and what was sent since.
+        Running requests: those in the owner's last update, and those sent since.
     batch : int
-        Requests that share a step at most.
+        Maximum number of requests in a batch.
     """
 
     endpoint: str
@@ -26,15 +26,15 @@
 
 
 class Placement(ABC):
-    """Chooses the endpoint of a request."""
+    """Chooses the endpoint that serves a request."""
 
     @abstractmethod
     def choose(self, holders: list[Holder]) -> Holder:
-        """Return one of the holders, of which there is at least one."""
+        """Return one of the holders; the list must not be empty."""
 
 
 class LeastLoaded(Placement):
-    """The endpoint with the emptiest batch."""
+    """Chooses the endpoint with the lowest batch fill."""
 
     def choose(self, holders: list[Holder]) -> Holder:
         """See `Placement.choose`."""
@@ -42,21 +42,21 @@
 
 
 class JoinFuller(Placement):
-    """The fullest batch that leaves room, so that no request waits for it.
+    """Chooses the fullest batch that still has room, so that no request waits.
 
     Parameters
     ----------
-    full_enough : float
-        Share of the batch limit up to which a batch is joined.
+    max_fill : float
+        Fraction of the batch limit below which a batch accepts requests.
     """
 
-    def __init__(self, full_enough: float = FULL_ENOUGH) -> None:
-        self._full_enough = full_enough
+    def __init__(self, max_fill: float = MAX_FILL) -> None:
+        self._max_fill = max_fill
 
     def choose(self, holders: list[Holder]) -> Holder:
         """See `Placement.choose`."""
-        room = [h for h in holders if h.running < self._full_enough * h.batch]
-        return max(room, key=_fill) if room else min(holders, key=_fill)
+        free = [h for h in holders if h.running < self._max_fill * h.batch]
+        return max(free, key=_fill) if free else min(holders, key=_fill)
 
 
 def _fill(holder: Holder) -> tuple[float, str]:
@@ -64,5 +64,5 @@
 
 
 def make_placement(weigh: float) -> Placement:
-    """Return the choice for a weight from stalls (0) to batches (1)."""
+    """Return the strategy for a weight between few stalls (0) and full batches (1)."""
     return JoinFuller() if weigh > 0 else LeastLoaded()
--- a/packages/core/src/knapweedbridge_core/slots.py
+++ b/packages/core/src/knapweedbridge_core/slots.py
@@ -1,4 +1,4 @@
-"""Where a load goes: the endpoint, and what it evicts there."""
+"""Strategies that choose the slot of a load: its endpoint and the victim there."""
 
 import math
 from abc import ABC, abstractmethod
@@ -8,23 +8,23 @@
 from knapweedbridge_core.names import AdapterVersion
 
 SLACK_PER_S = 0.01
-FULL_ENOUGH = 0.75
+MAX_FILL = 0.75
 
 
 @dataclass(slots=True, frozen=True)
 class SlotOption:
-    """One slot that a load could take.
+    """A slot that a load may use.
 
     Parameters
     ----------
     endpoint : str
-        Where the slot is.
+        Endpoint of the slot.
     victim : AdapterVersion or None
-        What it holds; None: it is free.
+        The adapter version in the slot; None if the slot is free.
     worth : float
-        What evicting the victim costs, in stalled requests a second.
+        Cost of evicting the victim, in stalled requests per second.
     running, batch : int
-        Requests the endpoint runs, and how many share a step at most.
+        Running requests of the endpoint, and the maximum in a batch.
     """
 
     endpoint: str
@@ -35,17 +35,17 @@
 
 
 class SlotChoice(ABC):
-    """Chooses among the slots of the pool that nothing pins."""
+    """Chooses among the slots of the pool that are not pinned."""
 
     @abstractmethod
     def choose(
         self, model: AdapterVersion, options: Iterable[SlotOption]
     ) -> SlotOption | None:
-        """Return the slot to take for an adapter version, or None."""
+        """Return the slot for an adapter version, or None if there are no options."""
 
 
 class LeastWorth(SlotChoice):
-    """The least expected victim; of equals, on the least loaded endpoint."""
+    """Chooses the cheapest victim; ties go to the endpoint with fewest requests."""
 
     def choose(
         self, model: AdapterVersion, options: Iterable[SlotOption]
@@ -59,16 +59,16 @@
 
 
 class FullerBatch(SlotChoice):
-    """A victim nearly as cheap, on the endpoint whose steps are fullest.
+    """Chooses among the cheapest victims the one on the fullest batch.
 
     Parameters
     ----------
     weigh : float
-        From 0 to 1: how much costlier the victim may be.
+        From 0 to 1; scales how much a victim's cost may exceed the minimum.
     """
 
     def __init__(self, weigh: float) -> None:
-        self._slack = SLACK_PER_S * weigh
+        self._slack_per_s = SLACK_PER_S * weigh
 
     def choose(
         self, model: AdapterVersion, options: Iterable[SlotOption]
@@ -77,18 +77,18 @@
         options = list(options)
         if not options:
             return None
-        limit = min(option.worth for option in options) + self._slack
+        limit = min(option.worth for option in options) + self._slack_per_s
         cheap = [option for option in options if option.worth <= limit]
         return max(cheap, key=_fill)
 
 
 def _fill(option: SlotOption) -> tuple[float, float, str]:
     fill = option.running / option.batch
-    # An endpoint near its limit would make the batch's requests wait.
-    fill = fill if fill < FULL_ENOUGH else -math.inf
+    # On an endpoint near its limit, requests would wait for room in the batch.
+    fill = fill if fill < MAX_FILL else -math.inf
     return fill, -option.worth, option.endpoint
 
 
 def make_slot_choice(weigh: float) -> SlotChoice:
-    """Return the choice for a weight from stalls (0) to batches (1)."""
+    """Return the strategy for a weight between few stalls (0) and full batches (1)."""
     return FullerBatch(weigh) if weigh > 0 else LeastWorth()
