--- a/features/handover/steps/handover_steps.py
+++ b/features/handover/steps/handover_steps.py
@@ -7,30 +7,30 @@
 from behave import then, when
 from stories import played
 
-BEFORE_S = 3.0
+BALANCED_S = 3.0
 ONE_HOST_S = 4.0
-CONTACT_S = 1.0
-PAUSE_S = 0.06
-MORE_OFTEN = 3
+SETTLE_S = 1.0
+INTERVAL_S = 0.06
+RATE_FACTOR = 3
 KINDS = ("look", "draft", "order", "note", "look", "draft")
 
 
 @dataclass
-class First:
-    """The first attempt of a request: when, and whether it was served."""
+class FirstAttempt:
+    """First attempt of a request: its time, and its status (0: not connected)."""
 
     at_s: float
     status: int = 0
 
     @property
     def is_read(self):
-        """Whether a host has read it."""
+        """Whether a host has read the request."""
         return self.status != 0
 
 
-async def ask(path, number, host, kept):
-    first = First(anyio.current_time())
-    kept.append(first)
+async def send_request(path, number, host, attempts):
+    attempt = FirstAttempt(anyio.current_time())
+    attempts.append(attempt)
     kind = KINDS[number % len(KINDS)]
     model = f"base/a{number % 3 + 1}"
     headers = {"Deadline-Ms": "1500"}
@@ -45,61 +45,71 @@
     except httpx.ConnectError:
         return
     except httpx.HTTPError:
-        first.status = -1
+        attempt.status = -1
         return
-    first.status = answer.status_code
+    attempt.status = answer.status_code
 
 
-async def come(path, tasks, numbers, host_of, seconds, pause_s, kept):
+async def open_connections(
+    path, tasks, numbers, host_of, seconds, interval_s, attempts
+):
     until_s = anyio.current_time() + seconds
     while anyio.current_time() < until_s:
         number = next(numbers)
-        tasks.start_soon(ask, path, number, host_of(number), kept)
-        await anyio.sleep(pause_s)
+        tasks.start_soon(send_request, path, number, host_of(number), attempts)
+        await anyio.sleep(interval_s)
 
 
 @when(
-    "callers open new connections to all hosts for 3 s, then three times as often to "
-    "one for 4 s, {how}"
+    "callers open new connections to all hosts for 3 s, then at three times the rate "
+    "to one for 4 s, {how}"
 )
 @played()
-async def most_to_one(context, path, how):
+async def connect_mostly_to_one(context, path, how):
     numbers, hosts = itertools.count(), context.daemons
     context.before, context.after = [], []
     async with anyio.create_task_group() as tasks:
-        await come(path, tasks, numbers, lambda n: n % hosts, 1.0, PAUSE_S, [])
-        await come(
-            path, tasks, numbers, lambda n: n % hosts, BEFORE_S, PAUSE_S, context.before
+        await open_connections(
+            path, tasks, numbers, lambda n: n % hosts, 1.0, INTERVAL_S, []
+        )
+        await open_connections(
+            path,
+            tasks,
+            numbers,
+            lambda n: n % hosts,
+            BALANCED_S,
+            INTERVAL_S,
+            context.before,
         )
         context.since_s = anyio.current_time()
-        often_s = PAUSE_S / MORE_OFTEN
-        halves = [0, 0] if how == "and go on so" else [0, 1]
-        for host in halves:
+        short_interval_s = INTERVAL_S / RATE_FACTOR
+        host_of_half = [0, 0] if how == "without a change" else [0, 1]
+        for host in host_of_half:
             if host:
                 await path.kill_daemon("host-0")
-            await come(
+            await open_connections(
                 path,
                 tasks,
                 numbers,
                 lambda n, h=host: h,
                 ONE_HOST_S / 2,
-                often_s,
+                short_interval_s,
                 context.after,
             )
 
 
-def share(firsts):
-    read = [each for each in firsts if each.is_read]
+def served_share(attempts):
+    read = [each for each in attempts if each.is_read]
     return sum(each.status == 200 for each in read) / len(read)
 
 
 @then(
-    "from 1 s on at least three quarters as many are served at the first attempt as "
-    "before"
+    "from 1 s on the share served at the first attempt is at least three quarters of "
+    "the one before"
 )
 def served_as_before(context):
-    later = [each for each in context.after if each.at_s > context.since_s + CONTACT_S]
-    before, after = share(context.before), share(later)
+    later = [each for each in context.after if each.at_s > context.since_s + SETTLE_S]
+    before, after = served_share(context.before), served_share(later)
     print(f"{before:.2f} of {len(context.before)} before, {after:.2f} of {len(later)}")
     assert before > 0.5, before
     assert after >= 0.75 * before, (before, after)
--- a/features/paths/host_links.py
+++ b/features/paths/host_links.py
@@ -1,4 +1,4 @@
-"""Links between hosts and endpoints that can be cut, host by host."""
+"""Links between hosts and endpoints that can be cut per host."""
 
 import asyncio
 from contextlib import asynccontextmanager
@@ -7,17 +7,17 @@
 from soak_proxy import Proxy
 from whole_path import HOST, whole_path
 
-ENDED_AFTER_S = 2.5
-"""When the kernel of a host ends a connection whose bytes nobody acknowledges."""
+KERNEL_TIMEOUT_S = 2.5
+"""When the kernel closes a connection whose bytes are not acknowledged."""
 
 
 class HostLinks:
-    """All connections from hosts to endpoints, each host's through proxies of its own.
+    """Connections from hosts to endpoints, through separate proxies for each host.
 
     Parameters
     ----------
     path : WholePath
-        Whose daemons and endpoints these are.
+        Daemons and endpoints.
     """
 
     def __init__(self, path):
@@ -38,28 +38,28 @@
             return await self._connect(protocol, ip, port, **more)
         if address in self._silent:
             await self._silent[address].wait()
-        how = self._cuts.get(host)
-        if how == "hang":
+        mode = self._cuts.get(host)
+        if mode == "hang":
             await anyio.sleep_forever()
-        elif how is not None:
+        elif mode is not None:
             raise ConnectionRefusedError(address)
         proxy = self._proxies[host, address]
         ip, _, port = proxy.address.rpartition(":")
         return await self._connect(protocol, ip, int(port), **more)
 
     async def start(self, hosts):
-        """Run the proxies of some hosts, which must be there before their daemons."""
+        """Start the proxies of all hosts, before their daemons start."""
         for host in range(hosts):
             await self.add_host(f"host-{host}")
 
     async def add_host(self, host):
-        """Run the proxies of a host, which must be there before its daemon."""
+        """Start the proxies of a host, before its daemon starts."""
         self._hosts.append(host)
         for endpoint in self._path.endpoints:
             await self._start_proxy(host, endpoint.address)
 
     async def add_endpoint(self, endpoint):
-        """Run the proxies that lead to an endpoint that the store doesn't list yet."""
+        """Start the proxies to an endpoint, before the store lists it."""
         for host in self._hosts:
             await self._start_proxy(host, endpoint.address)
 
@@ -67,35 +67,35 @@
         proxy = self._proxies[host, address] = Proxy(lambda: address)
         await self._tasks.start(proxy.run)
 
-    def cut(self, host, how):
+    def cut(self, host, mode):
         """Cut a host off from all endpoints: its connections hang, reset or live on."""
-        self._cuts[host] = how
+        self._cuts[host] = mode
         for (name, _), proxy in self._proxies.items():
-            if name == host and how == "reset":
+            if name == host and mode == "reset":
                 proxy.reset()
-            elif name == host and how == "hang":
+            elif name == host and mode == "hang":
                 proxy.deaf = proxy.mute = True
                 self._tasks.start_soon(self._end_later, proxy)
 
     async def _end_later(self, proxy):
-        await anyio.sleep(ENDED_AFTER_S)
+        await anyio.sleep(KERNEL_TIMEOUT_S)
         if proxy.deaf:
             proxy.reset()
 
     def heal(self, host):
-        """Give a host its links back."""
+        """Restore the links of a host."""
         del self._cuts[host]
         for (name, _), proxy in self._proxies.items():
             if name == host:
                 proxy.heal()
 
     def silence(self, address):
-        """Have an endpoint answer nobody for a while; nothing is lost by that."""
+        """Block all traffic of an endpoint without loss, until `end_silence`."""
         self._silent[address] = anyio.Event()
         self._set_silent(address, True)
 
     def end_silence(self, address):
-        """Have an endpoint go on with all that it got."""
+        """Deliver the blocked traffic of an endpoint."""
         self._silent.pop(address).set()
         self._set_silent(address, False)
 
@@ -107,12 +107,12 @@
 
 @asynccontextmanager
 async def path_with_links(hosts, lease_ms=10000):
-    """Run the whole path with links that can be cut."""
-    made = []
+    """Run the whole path, with links that can be cut."""
+    created = []
 
     async def prepare(path):
-        made.append(HostLinks(path))
-        await made[0].start(hosts)
+        created.append(HostLinks(path))
+        await created[0].start(hosts)
 
     async with whole_path(hosts, lease_ms, prepare=prepare) as path:
-        yield path, made[0]
+        yield path, created[0]
--- a/features/paths/silence.feature
+++ b/features/paths/silence.feature
@@ -1,13 +1,13 @@
-Feature: An endpoint that falls silent for a second has not failed
+Feature: An endpoint that is silent for a second has not failed
 
-  Scenario Outline: Nothing is concluded from a second of silence: <endpoint>
-    Guards against streams broken off, owners and paths given up for a silence of 1.2 s.
+  Scenario Outline: A second of silence has no consequences: <endpoint>
+    Guards against streams, ownerships and paths that are given up after 1.2 s of silence.
 
     Given the whole path with 3 daemons
     When <endpoint> is silent for 1.2 s while drafts run and calls come
-    Then no call that may run once runs twice, and none that was refused has run
-    And all drafts that ran there are answered whole
-    And no log tells of "path.cut, links.lost, owner.unreached, calls.blamed"
+    Then no non-idempotent call runs twice, and no refused call has run
+    And all drafts that ran there get complete responses
+    And no log holds "path.cut, links.lost, owner.unreached, calls.blamed"
 
     Examples:
       | endpoint |
@@ -15,14 +15,14 @@
       | desk-1   |
 
   Scenario Outline: How long a connection may stay unanswered: <end>
-    Guards against connections ended by a second of silence, or kept for long without an other end.
+    Guards against connections closed after a second of silence, or kept long after the peer is gone.
 
-    When a connection of <end> is looked at
-    Then its probes and its bound on unanswered bytes end it after 2 to 3 s, whichever decides
+    When the socket options of a connection from <end> are read
+    Then its keepalive probes and its timeout for unacknowledged bytes each end it after 2 to 3 s
 
     Examples:
       | end                                 |
       | a host to an endpoint               |
       | a caller to a host                  |
       | a host to its forwarder             |
-      | a forwarder to the host that asked  |
+      | a forwarder to the requesting host  |
--- a/features/paths/steps/cut_steps.py
+++ b/features/paths/steps/cut_steps.py
@@ -11,8 +11,8 @@
 from standins import header
 from stories import WRITTEN_S
 
-CONTACT_S = 3.0
-"""From when on after a cut the operators count the first tries of callers."""
+RECOVERY_S = 3.0
+"""Time after a cut from which first attempts must be served."""
 
 COUNTED_S = 3.0
 CALL_EVERY_S = 0.08
@@ -22,23 +22,23 @@
 KINDS = ("look", "order", "draft", "note")
 
 
-def linked(work):
-    """Run a story on the whole path with links that can be cut."""
+def with_links(work):
+    """Run a scenario on the whole path, with links that can be cut."""
 
     @functools.wraps(work)
     def step(context, **values):
-        async def story():
+        async def scenario():
             async with path_with_links(context.daemons) as (path, links):
                 context.path = path
                 await work(context, path, links, **values)
 
-        anyio.run(story)
+        anyio.run(scenario)
 
     return step
 
 
-class FirstTries:
-    """What became of the first tries of callers, host by host."""
+class FirstAttempts:
+    """Results of the first attempts of callers, by host."""
 
     def __init__(self):
         self.answers = []
@@ -63,7 +63,7 @@
                 await anyio.sleep(CALL_EVERY_S)
 
     def shares(self, since_s):
-        """Return the share of first tries that were served, host by host."""
+        """Return the share of first attempts that were served, by host."""
         sent, served = Counter(), Counter()
         for sent_s, host, _, status in self.answers:
             if sent_s >= since_s:
@@ -76,30 +76,30 @@
     "{cut:d} hosts lose their links to all endpoints, whose connections {how}, and "
     "calls come"
 )
-@linked
+@with_links
 async def lose_links(context, path, links, cut, how):
-    context.cut, context.tries = cut, FirstTries()
-    await context.tries.call_for(path, context.daemons, 1.0)
+    context.cut, context.attempts = cut, FirstAttempts()
+    await context.attempts.call_for(path, context.daemons, 1.0)
     for host in range(cut):
         links.cut(f"host-{host}", how)
-    context.since_s = anyio.current_time() + CONTACT_S
-    await context.tries.call_for(path, context.daemons, CONTACT_S + COUNTED_S)
+    context.since_s = anyio.current_time() + RECOVERY_S
+    await context.attempts.call_for(path, context.daemons, RECOVERY_S + COUNTED_S)
 
 
 @then(
-    "from 3 s on first tries there are served two thirds as often as at the others "
-    "at least"
+    "from 3 s on the share of first attempts served there is at least two thirds of "
+    "that at the others"
 )
 def served_as_often(context):
-    shares = context.tries.shares(context.since_s)
+    shares = context.attempts.shares(context.since_s)
     there = [shares[host] for host in range(context.cut)]
     others = [shares[host] for host in range(context.cut, context.daemons)]
     bound = SHARE * sum(others) / len(others)
     assert sum(there) / len(there) >= bound, shares
 
 
-@then("no call that may run once runs twice, and none that was refused has run")
-def keeps_promises(context):
+@then("no non-idempotent call runs twice, and no refused call has run")
+def runs_once(context):
     runs = Counter(
         header(request, "Request-Id")
         for endpoint in context.path.endpoints
@@ -107,7 +107,7 @@
     )
     once = {call: n for call, n in runs.items() if call.startswith(("order", "note"))}
     assert max(once.values()) == 1, [call for call, n in once.items() if n > 1]
-    refused = {call for *_, call, status in context.tries.answers if status == 503}
+    refused = {call for *_, call, status in context.attempts.answers if status == 503}
     assert not refused & runs.keys(), refused & runs.keys()
 
 
@@ -124,14 +124,14 @@
     "the owners of all engines lose their links, and 3 s later drafts need other "
     "adapters"
 )
-@linked
+@with_links
 async def owners_lose_links(context, path, links):
     cut = set(owners(path).values())
     if len(cut) == context.daemons:
         cut.pop()
     for host in cut:
         links.cut(host, "hang")
-    await anyio.sleep(CONTACT_S)
+    await anyio.sleep(RECOVERY_S)
     linked_host = next(
         number for number in range(context.daemons) if f"host-{number}" not in cut
     )
@@ -141,32 +141,33 @@
     ]
 
 
-@then("the drafts are answered at the host that has its links")
+@then("the host that still has links answers the drafts")
 def drafts_answered(context):
     statuses = [answer.status_code for answer in context.answers]
     assert set(statuses) == {200}, statuses
 
 
-async def draft_to_its_end(path, model):
+async def run_draft(path, model):
     with contextlib.suppress(httpx.RemoteProtocolError):
         headers = {"Model": model, "Token-Counts": "100,30"}
         await path.call("POST", "/note/1", 0, headers, content=PROMPT)
 
 
 @when(
-    "a host loses its links while drafts run, and the same drafts come again and again"
+    "a host loses its links while drafts run, and the same drafts are sent again and "
+    "again"
 )
-@linked
+@with_links
 async def cut_while_running(context, path, links):
     for engine in path.engines:
         engine.pause_s = 0.2
     async with anyio.create_task_group() as tasks:
         for number in range(6):
-            tasks.start_soon(draft_to_its_end, path, MODELS[number % 2])
+            tasks.start_soon(run_draft, path, MODELS[number % 2])
         await anyio.sleep(0.5)
         links.cut("host-0", "reset")
     for _ in range(4):
-        await draft_to_its_end(path, MODELS[0])
+        await run_draft(path, MODELS[0])
         await anyio.sleep(0.3)
     await anyio.sleep(WRITTEN_S)
     context.blames = [
--- a/features/paths/steps/path.py
+++ b/features/paths/steps/path.py
@@ -1,3 +1,3 @@
-"""Takes over the steps that begin a story on the whole path."""
+"""Import the steps that start a scenario on the whole path."""
 
 import path_steps  # noqa: F401
--- a/features/paths/steps/silence_steps.py
+++ b/features/paths/steps/silence_steps.py
@@ -1,20 +1,20 @@
 import anyio
 import httpx
 from behave import then, when
-from cut_steps import FirstTries, linked
+from cut_steps import FirstAttempts, with_links
 from pressure_calls import find_endpoint
 from stories import WRITTEN_S
 
-SILENT_S = 1.2
+SILENCE_S = 1.2
 EVENTS = [f"id: {number}" for number in range(1, 11)]
 
 
 @when("{name} is silent for 1.2 s while drafts run and calls come")
-@linked
-async def falls_silent(context, path, links, name):
+@with_links
+async def be_silent(context, path, links, name):
     endpoint = find_endpoint(path, name)
-    context.tries, context.drafts, context.endpoint = FirstTries(), [], endpoint
-    await context.tries.call_for(path, context.daemons, 1.0)
+    context.attempts, context.drafts, context.endpoint = FirstAttempts(), [], endpoint
+    await context.attempts.call_for(path, context.daemons, 1.0)
     for engine in path.engines:
         engine.pause_s = 0.2
     async with anyio.create_task_group() as tasks:
@@ -23,8 +23,8 @@
             tasks.start_soon(draft, path, model, number % 3, context.drafts)
         await anyio.sleep(0.4)
         links.silence(endpoint.address)
-        tasks.start_soon(context.tries.call_for, path, context.daemons, SILENT_S)
-        await anyio.sleep(SILENT_S)
+        tasks.start_soon(context.attempts.call_for, path, context.daemons, SILENCE_S)
+        await anyio.sleep(SILENCE_S)
         links.end_silence(endpoint.address)
     await anyio.sleep(WRITTEN_S)
     context.lines = [
@@ -41,12 +41,12 @@
     found.append([row for row in answer.text.splitlines() if row.startswith("id:")])
 
 
-@then("all drafts that ran there are answered whole")
-def drafts_whole(context):
+@then("all drafts that ran there get complete responses")
+def drafts_complete(context):
     assert all(each == EVENTS for each in context.drafts), context.drafts
 
 
-@then('no log tells of "{kinds}"')
-def no_log_tells(context, kinds):
-    told = {line["message_type"] for line in context.lines}
-    assert not told & set(kinds.split(", ")), told & set(kinds.split(", "))
+@then('no log holds "{kinds}"')
+def no_log_holds(context, kinds):
+    logged = {line["message_type"] for line in context.lines}
+    assert not logged & set(kinds.split(", ")), logged & set(kinds.split(", "))
--- a/features/paths/steps/tunnel_steps.py
+++ b/features/paths/steps/tunnel_steps.py
@@ -9,7 +9,7 @@
 import msgpack
 from anyio.abc import SocketAttribute
 from behave import given, then, when
-from cut_steps import CONTACT_S, FirstTries, linked
+from cut_steps import RECOVERY_S, FirstAttempts, with_links
 from whole_path import NO_TLS, RunningHost, whole_path
 
 from knapweedbridge_core.codec import encode
@@ -40,14 +40,14 @@
 
 SECRET = b"secret of the features"
 ENDS = {
-    "the endpoint ends in order": END,
+    "the endpoint ends normally": END,
     "the forwarder is killed": b"",
     "bytes that are no message come": b"\xc1",
 }
 
 
-@when("a forwarder hands on 5 bytes and then {end}")
-def hands_on(context, end):
+@when("a forwarder passes on 5 bytes and then {end}")
+def passes_on(context, end):
     async def serve(stream):
         await stream.receive()
         await stream.send(encode(TunnelOpened(1)) + msgpack.packb(b"12345"))
@@ -56,7 +56,7 @@
         await stream.send_eof()
         await anyio.sleep_forever()
 
-    async def story():
+    async def scenario():
         async with anyio.create_task_group() as tasks:
             listener = PeerListener()
             await listener.listen("127.0.0.1", 0)
@@ -72,11 +72,11 @@
             stream.close()
             tasks.cancel_scope.cancel()
 
-    anyio.run(story)
+    anyio.run(scenario)
 
 
-@then("the host that asked gets 5 bytes and then {what}")
-def got(context, what):
+@then("the requesting host reads 5 bytes and then {what}")
+def reads(context, what):
     data, last = context.read
     assert data == b"12345", context.read
     assert (last == b"") == (what == "an end"), context.read
@@ -88,7 +88,7 @@
 
 
 def hub_of(name, address, paths, draining=False):
-    """Return the hub of a daemon that knows host-0, host-1 and an endpoint."""
+    """Return the shared state of a daemon that knows two hosts and an endpoint."""
     cluster = ClusterState(secret=SECRET)
     for host in ("host-0", "host-1"):
         cluster.daemons[host] = DaemonRecord(host, 1, address, "d0")
@@ -121,7 +121,7 @@
     carried = TunnelForwarder(hub, 0 if "too many" in what else 10)
     serve_tunnel = None if "no tunnels" in what else carried.serve
 
-    async def story():
+    async def scenario():
         async with anyio.create_task_group() as tasks:
             peers = Peers("host-1", SECRET, 1.0, None, 1, serve_tunnel=serve_tunnel)
             listener = PeerListener()
@@ -135,11 +135,11 @@
             tasks.cancel_scope.cancel()
 
     context.error = None
-    anyio.run(story)
+    anyio.run(scenario)
 
 
-@when("a host that asks for a tunnel resets its stream while a call waits")
-def asker_resets(context):
+@when("a host that requests a tunnel resets its stream while a call waits")
+def requester_resets(context):
     context.ended, context.response = None, None
 
     async def run(host):
@@ -170,7 +170,7 @@
         except httpx.HTTPError as error:
             context.response = error
 
-    async def story():
+    async def scenario():
         with mock.patch.object(RunningHost, "serve", staticmethod(run)):
             async with whole_path(1) as path:
                 for desk in path.desks:
@@ -187,10 +187,10 @@
                         await anyio.sleep(0.5)
                 context.lines = path.lines()
 
-    anyio.run(story, backend_options={"use_uvloop": True})
+    anyio.run(scenario, backend_options={"use_uvloop": True})
 
 
-@then("the daemon serves on, and the call is answered with {status:d}")
+@then("the daemon keeps serving, and the call is answered with {status:d}")
 def serves_on(context, status):
     outcomes = [
         line["outcome"]
@@ -209,14 +209,14 @@
     assert context.error.is_lost == (state == "lost"), context.error
 
 
-@when("a caller of a host without links leaves in the middle of a draft")
-@linked
-async def caller_leaves(context, path, links):
+@when("a caller of a host without links disconnects in the middle of a draft")
+@with_links
+async def caller_disconnects(context, path, links):
     await path.draft("base/a1", 0)
     for engine in path.engines:
         engine.pause_s = 0.5
     links.cut("host-0", "hang")
-    await anyio.sleep(CONTACT_S)
+    await anyio.sleep(RECOVERY_S)
     with anyio.move_on_after(1.5):
         await path.draft("base/a1", 0)
     await anyio.sleep(0.5)
@@ -228,25 +228,25 @@
     ]
 
 
-@then("no endpoint holds a connection for it 0.5 s later")
+@then("no endpoint works on the call 0.5 s later")
 def no_connection(context):
     assert context.forwarded and all(context.forwarded), context.forwarded
     assert context.runs == 0, context.runs
 
 
 @when("a host loses its links for 3 s while calls come, and calls go on for 4 s")
-@linked
+@with_links
 async def links_come_back(context, path, links):
-    tries = FirstTries()
-    await tries.call_for(path, context.daemons, 1.0)
+    attempts = FirstAttempts()
+    await attempts.call_for(path, context.daemons, 1.0)
     links.cut("host-0", "hang")
-    await tries.call_for(path, context.daemons, 3.0)
+    await attempts.call_for(path, context.daemons, 3.0)
     links.heal("host-0")
-    await tries.call_for(path, context.daemons, 2.0)
+    await attempts.call_for(path, context.daemons, 2.0)
     await anyio.sleep(0.2)
     before = len(path.lines(0))
-    context.served = len(tries.answers)
-    await tries.call_for(path, context.daemons, 2.0)
+    context.served = len(attempts.answers)
+    await attempts.call_for(path, context.daemons, 2.0)
     await anyio.sleep(0.2)
     context.ended = [
         line
@@ -255,17 +255,17 @@
     ]
 
 
-@then("from 2 s after the links are back its calls go over them alone")
-def goes_directly(context):
+@then("from 2 s after the links are restored its calls use no tunnel")
+def uses_no_tunnel(context):
     assert context.ended
-    around = [line for line in context.ended if line["forwarder"]]
-    assert not around, around
+    tunnelled = [line for line in context.ended if line["forwarder"]]
+    assert not tunnelled, tunnelled
 
 
 @when("calls come for 3 s")
-@linked
+@with_links
 async def calls_come(context, path, links):
-    await FirstTries().call_for(path, context.daemons, 3.0)
+    await FirstAttempts().call_for(path, context.daemons, 3.0)
     context.pages = []
     async with httpx.AsyncClient(verify=NO_TLS) as client:
         for port in path.metrics_ports:
@@ -273,7 +273,7 @@
             context.pages.append(page.text)
 
 
-@then("no host has asked another for a tunnel")
+@then("no host has requested a tunnel")
 def no_tunnels(context):
     asked = [page for page in context.pages if "knapweedbridge_tunnels" in page]
     assert not asked, len(asked)
@@ -285,28 +285,28 @@
     context.without = {each.name for each in context.daemons[:26]}
 
 
-@when("each of those opens 40 tunnels")
+@when("each of the 26 opens 40 tunnels")
 def opens_tunnels(context):
     context.carried, context.asked = Counter(), {}
-    askers = {name: Forwarders(name) for name in context.without}
-    for asker in askers.values():
-        asker.set_daemons(context.daemons, context.without)
+    requesters = {name: Forwarders(name) for name in context.without}
+    for requester in requesters.values():
+        requester.set_daemons(context.daemons, context.without)
     for _ in range(40):
-        for name, asker in askers.items():
-            order = asker.in_order(0.0)
+        for name, requester in requesters.items():
+            order = requester.in_order(0.0)
             context.asked[name] = len(order)
             context.carried[order[0]] += 1
-            asker.record_opened(order[0], context.carried[order[0]])
+            requester.record_opened(order[0], context.carried[order[0]])
 
 
-@then("no host carries more than three times the mean of those that have links")
+@then("no host carries more than three times the mean over the hosts with links")
 def carries_its_share(context):
     mean = context.carried.total() / (len(context.daemons) - len(context.without))
     assert max(context.carried.values()) <= 3 * mean, (context.carried, mean)
 
 
-@then("each host asks {most:d} others at most")
-def asks_few(context, most):
+@then("each host requests tunnels of at most {most:d} others")
+def requests_few(context, most):
     assert max(context.asked.values()) <= most, context.asked
 
 
@@ -314,7 +314,7 @@
 
 
 async def sockets():
-    """Open one connection of each kind, and return its socket by its end's name."""
+    """Open one connection of each kind, and return its socket options by its ends."""
     found = {}
     made = anyio.Event()
     async with AsyncExitStack() as stack:
@@ -323,7 +323,7 @@
         forwarding = TunnelForwarder(forwarder_of(endpoint), 10)
 
         async def serve_tunnel(host, stream, asked):
-            found["a forwarder to the host that asked"] = stream.raw
+            found["a forwarder to the requesting host"] = stream.raw
             await forwarding.serve(host, stream, asked)
 
         peers = Peers("host-1", SECRET, 1.0, None, 1, serve_tunnel=serve_tunnel)
@@ -373,14 +373,14 @@
     }
 
 
-@when("a connection of {end} is looked at")
-def looked_at(context, end):
+@when("the socket options of a connection from {end} are read")
+def read_socket_options(context, end):
     context.options = anyio.run(sockets)[end]
 
 
 @then(
-    "its probes and its bound on unanswered bytes end it after 2 to 3 s, whichever "
-    "decides"
+    "its keepalive probes and its timeout for unacknowledged bytes each end it after "
+    "2 to 3 s"
 )
 def ends_in_time(context):
     found = context.options
--- a/features/unframed/steps/unframed_steps.py
+++ b/features/unframed/steps/unframed_steps.py
@@ -8,19 +8,20 @@
 
 
 @when(
-    'endpoints answer a "{kind}" request without length or chunks, and the first {ends}'
+    'endpoints answer a "{kind}" request without length or chunks, and the first '
+    "response {ends}"
 )
 @unframed
-async def answers(context, path, kind, ends):
+async def send_request(context, path, kind, ends):
     Unframed.breaks = [ends]
     model = {"Model": "base", "Token-Counts": "10,10"} if is_stream(kind) else {}
     method = "GET" if kind == "look" else "POST"
     try:
         answer = await path.call(method, f"/{kind}/1", headers=model)
     except httpx.HTTPError:
-        context.found = "cut"
+        context.found = "truncated"
     else:
-        context.found = "whole" if is_whole(kind, answer) else "broken"
+        context.found = "complete" if is_complete(kind, answer) else "broken"
     context.runs = sum(len(each.requests) for each in path.endpoints)
 
 
@@ -28,7 +29,7 @@
     return kind in ("draft", "note")
 
 
-def is_whole(kind, answer):
+def is_complete(kind, answer):
     if answer.status_code != 200:
         return False
     if not is_stream(kind):
@@ -37,6 +38,8 @@
     return answer.text == "".join(events)
 
 
-@then('the caller finds it "{found}", and {runs:d} endpoints have run it')
-def finds(context, found, runs):
+@then(
+    'the caller gets a "{found}" response, and {runs:d} endpoints have run the request'
+)
+def check_response(context, found, runs):
     assert (context.found, context.runs) == (found, runs), (context.found, context.runs)
--- a/features/unframed/unframed.py
+++ b/features/unframed/unframed.py
@@ -1,4 +1,4 @@
-"""Endpoints whose answers have neither a length nor chunks."""
+"""Endpoints whose responses have neither a length nor chunks."""
 
 import os
 
@@ -9,31 +9,33 @@
 EVENTS = 10
 BODY = b"a body that is whole"
 HEAD = b"HTTP/1.1 200 OK\r\n%s\r\nConnection: close\r\n\r\n"
-CUT_AT = 4
-"""Event that the first answer breaks at."""
+EVENTS_BEFORE_CUT = 4
+"""Number of events in the first response if it is cut."""
 
-WRITTEN_S = 0.02
+PART_INTERVAL_S = 0.02
 
 
 class Unframed:
-    """Mixed into a stand-in of an endpoint, whose answers end with the connection.
+    """Mixin for endpoints whose responses end with the connection.
 
-    Parameters
+    Attributes
     ----------
-    breaks : str
-        How the first answer ends, of all that share the list; the others end in order.
+    breaks : list of str
+        How the next responses end, over all endpoints; later ones end normally.
+    kind : tuple
+        Headers of the content type.
     """
 
     breaks = ()
     kind = ()
 
     async def answer(self, request, responder, behaviour):
-        ends = self.breaks.pop() if self.breaks else "ends in order"
+        ends = self.breaks.pop() if self.breaks else "ends normally"
         lines = [b"%s: %s" % pair for pair in [*self.sealed(request), *self.kind]]
         self._write(responder, HEAD % b"\r\n".join(lines))
         for part in self._parts(request, ends):
             self._write(responder, part)
-            await anyio.sleep(WRITTEN_S)
+            await anyio.sleep(PART_INTERVAL_S)
         if ends.startswith("is reset"):
             responder._connection._wire.reset()
 
@@ -45,15 +47,15 @@
 
 
 class UnframedEndpoint(Unframed, Endpoint):
-    """A plain endpoint."""
+    """Plain endpoint with such responses."""
 
     def _parts(self, request, ends):
         half = len(BODY) // 2
-        return [BODY[:half]] if ends != "ends in order" else [BODY[:half], BODY[half:]]
+        return [BODY[:half]] if ends != "ends normally" else [BODY[:half], BODY[half:]]
 
 
 class UnframedEngine(Unframed, Engine):
-    """An engine."""
+    """Engine with such responses."""
 
     kind = ((b"Content-Type", b"text/event-stream"),)
 
@@ -63,14 +65,14 @@
             f"id: {number}\ndata: t{number}\n\n".encode()
             for number in range(first, EVENTS + 1)
         ]
-        if ends == "ends in order":
+        if ends == "ends normally":
             return events
-        events = events[:CUT_AT]
-        return [*events, b"id: 5\ndat"] if ends == "ends inside an event" else events
+        events = events[:EVENTS_BEFORE_CUT]
+        return [*events, b"id: 5\ndat"] if ends == "ends within an event" else events
 
 
 class UnframedPath(WholePath):
-    """A whole path with such endpoints."""
+    """Whole path with such endpoints."""
 
     plain_kind = UnframedEndpoint
     engine_kind = UnframedEngine
--- a/packages/daemon/src/knapweedbridge_daemon/serving/__init__.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/__init__.py
@@ -1,3 +1,3 @@
-"""A daemon that serves by a platform's dialect, straight to the endpoints."""
+"""Daemon that uses a platform's own protocols and sends calls directly to endpoints."""
 
 __all__: list[str] = []
--- a/packages/daemon/src/knapweedbridge_daemon/serving/endpoint_sweep.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/endpoint_sweep.py
@@ -1,4 +1,4 @@
-"""Drops endpoints whose time is over, and what hung on them."""
+"""Drop expired endpoints and their connections."""
 
 import anyio
 
@@ -6,19 +6,19 @@
 from knapweedbridge_daemon.serving.hub import Hub
 from knapweedbridge_daemon.serving.peer_link import PeerLink
 
-SWEEP_S = 0.5
-"""Pause between looks."""
+SWEEP_INTERVAL_S = 0.5
+"""Interval between sweeps."""
 
 
 class EndpointSweep:
-    """The task that forgets endpoints and closes connections that lead to none.
+    """Task that forgets endpoints and closes connections that lead to none.
 
     Parameters
     ----------
     hub : Hub
-        Beliefs and connections.
+        Shared state and connections.
     link : PeerLink
-        Is told which starts of endpoints are over.
+        Records which starts of endpoints have ended.
     """
 
     def __init__(self, hub: Hub, link: PeerLink) -> None:
@@ -26,15 +26,15 @@
         self._link = link
 
     async def run(self) -> None:
-        """Look again and again until cancelled."""
-        due_s = anyio.current_time() + SWEEP_S
+        """Sweep until cancelled."""
+        due_s = anyio.current_time() + SWEEP_INTERVAL_S
         while True:
             await self._hub.losses_changed.wait(max(0.0, due_s - anyio.current_time()))
-            for before in self._hub.cluster.fleet.pop_restarted():
-                await self._end_start(before)
+            for previous in self._hub.cluster.fleet.pop_restarted():
+                await self._end_start(previous)
             if anyio.current_time() >= due_s:
                 await self._sweep()
-                due_s = anyio.current_time() + SWEEP_S
+                due_s = anyio.current_time() + SWEEP_INTERVAL_S
 
     async def _sweep(self) -> None:
         self._forget_unlisted()
@@ -50,20 +50,20 @@
             hub.log.info("endpoint.gone", endpoint=name, cause="not listed again")
             hub.engines_changed.tell()
 
-    async def _end_start(self, before: Endpoint) -> None:
-        """Draw the conclusions of an endpoint's new start under its id.
+    async def _end_start(self, previous: Endpoint) -> None:
+        """Clean up after an endpoint that has restarted under the same id.
 
-        Connections to the start before may be silent for good, as those to a host that
-        lost its power are: a call that is sent on one gets no answer.
+        Connections to the previous start may stay silent forever, as after a power loss
+        of the host: a call that is sent on one gets no response.
         """
         hub = self._hub
         hub.log.info(
             "endpoint.restarted",
-            endpoint=before.name,
-            before_ms=before.record.started_ms,
+            endpoint=previous.name,
+            before_ms=previous.record.started_ms,
         )
-        await hub.pool.close_idle_to(before.record.address)
+        await hub.pool.close_idle_to(previous.record.address)
         await self._link.crashes.record_endpoint_lost(
-            before.name, "restarted", before.record.started_ms
+            previous.name, "restarted", previous.record.started_ms
         )
         hub.engines_changed.tell()
--- a/packages/daemon/src/knapweedbridge_daemon/serving/engine_observations.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/engine_observations.py
@@ -1,4 +1,4 @@
-"""What this daemon saw of engines' responses since it last told their owners."""
+"""Response times of engines since the last report to their owners."""
 
 from dataclasses import dataclass, field
 
@@ -7,17 +7,17 @@
 
 
 @dataclass(slots=True)
-class _Seen:
+class _Observations:
     first_events: list[list[float]] = field(default_factory=list)
     gaps: int = 0
     gaps_s: float = 0.0
 
 
 class EngineObservations:
-    """Collects times of responses by engine."""
+    """Response times by start of an engine."""
 
     def __init__(self) -> None:
-        self._seen: dict[EndpointStart, _Seen] = {}
+        self._observations: dict[EndpointStart, _Observations] = {}
 
     def record_first_event(
         self,
@@ -26,35 +26,37 @@
         unread_tokens: int,
         took_s: float,
     ) -> None:
-        """Take a first event, the time since its prompt was sent, and what was unread.
+        """Record a first event, its time since the prompt was sent and unread tokens.
 
-        The latest are kept: they tell most of the engine as it is now.
+        Only the latest are kept, which best describe the engine's present speed.
         """
-        first_events = self._of(start).first_events
+        first_events = self._get(start).first_events
         if len(first_events) >= MAX_FIRST_EVENTS:
             del first_events[0]
         first_events.append([prompt_tokens, unread_tokens, took_s])
 
     def record_gap(self, start: EndpointStart, gap_s: float) -> None:
-        """Take a pause between two events of a stream."""
-        seen = self._of(start)
-        seen.gaps += 1
-        seen.gaps_s += gap_s
+        """Record a gap between two events of a stream."""
+        observations = self._get(start)
+        observations.gaps += 1
+        observations.gaps_s += gap_s
 
-    def _of(self, start: EndpointStart) -> _Seen:
-        seen = self._seen.get(start)
-        if seen is None:
-            seen = self._seen[start] = _Seen()
-        return seen
+    def _get(self, start: EndpointStart) -> _Observations:
+        observations = self._observations.get(start)
+        if observations is None:
+            observations = self._observations[start] = _Observations()
+        return observations
 
     def take(self, start: EndpointStart) -> tuple[list[list[float]], list[float]]:
-        """Return, once, first events and gaps as `CallsReport` holds them."""
-        seen = self._seen.pop(start, None)
-        if seen is None:
+        """Return and remove first events and gaps, in the form of `CallsReport`."""
+        observations = self._observations.pop(start, None)
+        if observations is None:
             return [], []
-        gaps = [float(seen.gaps), seen.gaps_s] if seen.gaps else []
-        return seen.first_events, gaps
+        gaps = (
+            [float(observations.gaps), observations.gaps_s] if observations.gaps else []
+        )
+        return observations.first_events, gaps
 
     def forget(self, start: EndpointStart) -> None:
-        """Drop what was seen of an engine that is gone or has started again."""
-        self._seen.pop(start, None)
+        """Drop the observations of an engine that is gone or has restarted."""
+        self._observations.pop(start, None)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/engine_owner.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/engine_owner.py
@@ -1,4 +1,4 @@
-"""Gives orders to one engine that this daemon owns."""
+"""Send orders to one engine that this daemon owns."""
 
 from itertools import chain
 
@@ -43,48 +43,48 @@
 from knapweedbridge_daemon.serving.wire import ResponseHead, WireRequest
 
 ORDER_TIMEOUT_S = 0.12
-"""How long an order may be on its way: a successor's first must come after it."""
+"""How long an order may be in flight: a successor's first order must come after it."""
 
-ORDER_ANSWER_S = 0.05
-"""How long an order's answer is awaited. Answers take some ms, each engine gets one
-order at a time, and one without an answer is safely followed by the next. Where a third
-of the orders went unanswered, 0.12 s each left up to ten adapters waiting for theirs,
-and 190 of 3,650 calls were refused for it."""
+ORDER_RESPONSE_TIMEOUT_S = 0.05
+"""Timeout for the response to an order. Responses take some milliseconds, each engine
+gets one order at a time, and the next may safely follow one without a response. With a
+third of the orders unanswered, a timeout of 0.12 s left up to ten adapters waiting, and
+190 of 3,650 calls were refused for it."""
 
 REPORT_TIMEOUT_S = 0.5
 REPORT_INTERVAL_S = 0.3
-"""Pause between reports that are asked for: they are some 200 ms old, and priced."""
+"""Interval between requests for a report: reports are some 200 ms old, and charged."""
 
-WORK_S = 1.0
-"""Longest wait for work; what is due by time alone is seen within it."""
+MAX_IDLE_S = 1.0
+"""Longest pause between passes, and so the delay of what is due by time alone."""
 
-TIMER_S = 0.001
-"""Added to the time of a telling. Timers of the event loop end up to a millisecond
-early, and a pass that found nothing due was followed by a second one."""
+TIMER_MARGIN_S = 0.001
+"""Added to the time of an update. Timers of the event loop fire up to a millisecond
+early, and a pass that finds nothing due is followed by a second one."""
 
-LEARN_S = 0.05
-"""Time in which daemons tell a new owner of their calls: ways take milliseconds."""
+CALLS_REPORT_WAIT_S = 0.05
+"""Time in which daemons report their calls to a new owner; messages take ms."""
 
 
 class EngineOwner:
-    """The task that orders one engine.
+    """Task that sends orders to one engine.
 
     Parameters
     ----------
     hub : Hub
-        Beliefs and dialects.
+        Shared state.
     endpoint : Endpoint
         The engine.
     limits : EngineLimits
-        What it can hold.
+        Capacity of the engine.
     record : OwnerRecord
-        Under which this daemon owns it.
+        Record by which this daemon owns the engine.
     send : callable
         Sends a message to a daemon.
     permits : Permits
-        Lets orders go to a limited engine.
+        Grants permits for orders to a rate-limited engine.
     backpressure : BackpressureRecorder
-        Takes what the engine asks for in its answers to orders.
+        Records the backpressure in the engine's responses to orders.
     """
 
     def __init__(
@@ -103,11 +103,11 @@
         self.endpoint = endpoint
         self._record = record
         self._send = send
-        self._work = Wake()
-        self._alone = anyio.Event()
+        self._wake = Wake()
+        self._predecessors_released = anyio.Event()
         self._predecessors: set[str] = set()
         self._reported_s = float("-inf")
-        self._askers: set[str] = set()
+        self._requesters: set[str] = set()
         self.controller = EngineController(
             limits,
             {model: held.used_s for model, held in endpoint.held.items()},
@@ -124,27 +124,27 @@
 
     @property
     def number(self) -> int:
-        """The fencing number of its orders."""
+        """Fencing number of the orders."""
         return self._record.number
 
-    def wanted(self, daemon: str, model: ModelRef, version: int) -> None:
-        """Take a daemon's wish for an adapter, which is answered at once."""
-        self._askers.add(daemon)
+    def request_adapter(self, daemon: str, model: ModelRef, version: int) -> None:
+        """Record a daemon's request for an adapter, which is acknowledged at once."""
+        self._requesters.add(daemon)
         self._updates.add_waiter(daemon, model)
         small = self._hub.cluster.is_small_pool
         if self.controller.holds(model, version) and not small:
-            # It has not heard of it yet, and no order will tell it. In a small pool
-            # each change is told to all at once.
+            # The daemon does not know of the adapter yet, and no order will show it.
+            # In a small pool each change goes to all daemons at once.
             self._updates.request_snapshot(daemon)
         self.controller.request_adapter(model, version, anyio.current_time())
-        self._work.set()
+        self._wake.set()
 
     def record_calls(self, daemon: str, message: CallsReport) -> None:
-        """Take all calls of one daemon on the engine."""
+        """Record all calls of one daemon on the engine."""
         start = EndpointStart(message.endpoint, message.started_ms)
         if not start.may_be(self.endpoint.start):
-            # They run on another start of the engine than this one; if on a later
-            # one, they are told again within a second.
+            # The calls run on another start of the engine than this one. If it is a
+            # later one, they are reported again within a second.
             return
         found = {parse_model(name): count for name, count in message.calls.items()}
         now_s = anyio.current_time()
@@ -154,95 +154,95 @@
         self._speeds.take(daemon, message, now_s)
         self.controller.record_calls(daemon, found, message.unread_tokens, now_s)
         self._updates.mark_calls_changed()
-        self._note_calls()
+        self._schedule_calls_update()
 
-    def _note_calls(self) -> None:
-        """Have other calls looked at; at once where an order may depend on them."""
+    def _schedule_calls_update(self) -> None:
+        """Schedule a pass for changed calls; at once if an order may depend on them."""
         if self.controller.wants:
-            self._work.set()
+            self._wake.set()
         else:
             small = self._hub.cluster.is_small_pool
-            self._work.set_by(self._updates.due_s(small) + TIMER_S)
+            self._wake.set_by(self._updates.due_s(small) + TIMER_MARGIN_S)
 
     def forget_daemon(self, daemon: str) -> None:
-        """Drop the calls of a daemon that is gone."""
+        """Forget the calls of a daemon that is gone."""
         self.controller.forget_daemon(daemon)
         self._updates.mark_calls_changed()
-        self._work.set()
+        self._wake.set()
 
-    def missed(self, model: ModelRef) -> None:
-        """Take that the engine does not hold what it should."""
+    def record_missing_adapter(self, model: ModelRef) -> None:
+        """Record that the engine does not hold an adapter that it should hold."""
         self.controller.missed(model, anyio.current_time())
         self._updates.mark_adapters_changed()
-        self._work.set()
+        self._wake.set()
 
     async def run(self) -> None:
-        """Order the engine until its ownership ends."""
+        """Send orders until the ownership ends."""
         with self.scope:
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(self.turns.run)
-                await self._learn()
+                await self._collect_state()
                 await self._run_passes()
 
     async def _run_passes(self) -> None:
         while True:
-            self._work.clear()
+            self._wake.clear()
             await self._step()
-            await self._tell()
+            await self._send_updates()
             now_s = anyio.current_time()
-            await self._work.wait_until(now_s + self._pause_s(now_s))
+            await self._wake.wait_until(now_s + self._next_pause_s(now_s))
 
-    def predecessor_ended(self, daemon: str, number: int) -> None:
-        """Take that an owner of before gives no more orders."""
+    def record_release(self, daemon: str, number: int) -> None:
+        """Record that a former owner has stopped sending orders."""
         if number != self.number:
             return
         self._predecessors.discard(daemon)
         if not self._predecessors:
-            self._alone.set()
+            self._predecessors_released.set()
 
     async def _await_predecessors(self) -> None:
         hub, name = self._hub, self.endpoint.name
-        lost = [
+        silent = [
             each
             for each in hub.cluster.silent_predecessors(
                 name, anyio.current_time(), hub.lease_s
             )
             if each.record.owner != hub.identity.name
         ]
-        if not lost:
+        if not silent:
             return
-        self._predecessors = {each.record.owner for each in lost}
+        self._predecessors = {each.record.owner for each in silent}
         predecessors = sorted(self._predecessors)
         for owner in predecessors:
             await self._send(owner, OwnershipClaimed(name, self.number))
-        with anyio.move_on_at(max(each.lost_s for each in lost) + hub.lease_s):
-            await self._alone.wait()
+        with anyio.move_on_at(max(each.lost_s for each in silent) + hub.lease_s):
+            await self._predecessors_released.wait()
         self._hub.log.info(
             "owner.succeeded",
             engine=self.endpoint.name,
             number=self.number,
             predecessors=predecessors,
-            answered=self._alone.is_set(),
+            answered=self._predecessors_released.is_set(),
         )
 
-    async def _learn(self) -> None:
+    async def _collect_state(self) -> None:
         await self._await_predecessors()
-        # An adapter that is unloaded while calls run on it blocks the engine for all
-        # other orders until they end: so daemons are asked for their calls first.
-        await self._ask_report()
-        await self._tell()
-        await anyio.sleep(LEARN_S)
-
-    def _pause_s(self, now_s: float) -> float:
-        """Return when to look again at what is due by time alone, in seconds."""
+        # Unloading an adapter with running calls blocks the engine for all other orders
+        # until they end, so the daemons report their calls first.
+        await self._request_report()
+        await self._send_updates()
+        await anyio.sleep(CALLS_REPORT_WAIT_S)
+
+    def _next_pause_s(self, now_s: float) -> float:
+        """Return the longest pause until the next pass, in seconds."""
         small = self._hub.cluster.is_small_pool
-        pause_s = WORK_S if small else IDLE_UPDATE_INTERVAL_S
+        pause_s = MAX_IDLE_S if small else IDLE_UPDATE_INTERVAL_S
         if self.controller.needs_report:
             pause_s = REPORT_INTERVAL_S
         elif self.controller.wants:
             pause_s = LOAD_UPDATE_INTERVAL_S if self._updates.has_changes else 0.05
         if self._updates.has_changes:
-            pause_s = min(pause_s, self._updates.due_s(small) + TIMER_S - now_s)
+            pause_s = min(pause_s, self._updates.due_s(small) + TIMER_MARGIN_S - now_s)
         return max(LEAST_PAUSE_S, pause_s)
 
     async def _step(self) -> None:
@@ -257,22 +257,22 @@
             and now_s - self._reported_s >= REPORT_INTERVAL_S
         ):
             self._reported_s = now_s
-            await self._ask_report()
+            await self._request_report()
             now_s = anyio.current_time()
         while self.controller.next_order(now_s) is not None:
             if not await self._permits.take(self.endpoint, is_order=True):
                 break
-            # What is due may have changed while the permit was awaited.
+            # The next order may have changed while waiting for the permit.
             order = self.controller.next_order(anyio.current_time())
             if order is None or not self._hub.lease.may_order(suspended_clock_s()):
                 break
-            await self._order(order)
+            await self._send_order(order)
             now_s = anyio.current_time()
         stuck = self.controller.describe_stuck_requests(anyio.current_time())
         if stuck is not None:
             self._hub.log.info("engine.stuck", engine=self.endpoint.name, **stuck)
 
-    async def _ask_report(self) -> None:
+    async def _request_report(self) -> None:
         record = self.endpoint.record
         request = self._hub.dialects.endpoints.report(record.address)
         self._hub.metrics.count("reports")
@@ -291,16 +291,16 @@
                 "engine.report_failed", engine=self.endpoint.name, error=str(error)
             )
             return
-        if self._is_of_another_start(report):
+        if self._detect_restart(report):
             return
         self.controller.apply_report(report, anyio.current_time())
         self._updates.mark_adapters_changed()
 
-    def _is_of_another_start(self, report: EngineReport) -> bool:
-        """Tell whether a report is of another start of the engine than is known.
+    def _detect_restart(self, report: EngineReport) -> bool:
+        """Return whether a report is of another start of the engine than the known one.
 
-        Its counts begin anew, so the keeper of before would take every report for an
-        outdated one. `EngineOwners` begins with a new keeper.
+        Its counts begin anew, so the present controller would take every report for an
+        outdated one. `EngineOwners` creates a new controller.
         """
         start = EndpointStart(self.endpoint.name, report.started_ms)
         if start.may_be(self.endpoint.start):
@@ -312,7 +312,8 @@
     async def _exchange(
         self, request: WireRequest, timeout_s: float
     ) -> tuple[ResponseHead, bytes]:
-        # Orders from two hosts count as those of two owners, whoever has sent them.
+        # Never through a tunnel: orders that arrive from two hosts count as those of
+        # two owners.
         destination = Destination(
             self.endpoint.record.address, self.endpoint.name, is_direct=True
         )
@@ -320,7 +321,7 @@
             async with self._hub.pool.connection(destination) as connection:
                 return await connection.call(request)
 
-    async def _order(self, order: Order) -> None:
+    async def _send_order(self, order: Order) -> None:
         hub = self._hub
         dialect = hub.dialects.endpoints
         request = dialect.order(
@@ -333,7 +334,7 @@
         answer, status = OrderAnswer.UNKNOWN, 0
         sent_s = anyio.current_time()
         try:
-            head, body = await self._exchange(request, ORDER_ANSWER_S)
+            head, body = await self._exchange(request, ORDER_RESPONSE_TIMEOUT_S)
             answer, status = dialect.read_order_answer(head, body), head.status
             await self._backpressure.take(
                 self.endpoint, dialect.read_response(head), sent_s
@@ -341,11 +342,11 @@
         except NotSentError:
             answer = OrderAnswer.REFUSED
         except (ConnectionBrokenError, TimeoutError):
-            # Whether it is carried out, now or later, only a later order shows.
+            # Only a later order shows whether this one is carried out.
             answer = OrderAnswer.UNKNOWN
         if order.kind is OrderKind.LOAD:
-            # Only the time of a load depends on them.
-            self._count_others()
+            # Only the load time depends on the loads of other engines.
+            self._count_other_loads()
         self.controller.answered(order, answer, anyio.current_time())
         self._updates.mark_adapters_changed()
         if order.kind is OrderKind.LOAD and answer is not OrderAnswer.UNKNOWN:
@@ -363,7 +364,7 @@
             status=status,
         )
 
-    def _count_others(self) -> None:
+    def _count_other_loads(self) -> None:
         now_s = anyio.current_time()
         fleet = self._hub.cluster.fleet
         engines = fleet.of_service(self.endpoint.record.service, now_s)
@@ -373,20 +374,20 @@
         )
 
     async def request_snapshot(self, daemon: str) -> None:
-        """Answer a daemon that missed a telling, or has a call to place."""
+        """Send a snapshot to a daemon that missed an update or has a call to place."""
         self._updates.request_snapshot(daemon)
-        for telling in self._updates.take_requested(anyio.current_time()):
-            await self._send(telling.daemon, telling.message)
+        for update in self._updates.take_requested(anyio.current_time()):
+            await self._send(update.daemon, update.message)
 
-    async def _tell(self) -> None:
-        askers, self._askers = self._askers, set()
+    async def _send_updates(self) -> None:
+        requesters, self._requesters = self._requesters, set()
         cluster, now_s = self._hub.cluster, anyio.current_time()
         subscribers = chain.from_iterable(cluster.relays.values())
         small = cluster.is_small_pool
-        told_to = list(cluster.daemons if small else subscribers)
-        for telling in self._updates.tell(told_to, small, now_s):
-            askers.discard(telling.daemon)
-            await self._send(telling.daemon, telling.message)
-        for daemon in askers:
-            answered = OwnerAck(self.endpoint.name, self.number)
-            await self._send(daemon, answered)
+        recipients = list(cluster.daemons if small else subscribers)
+        for update in self._updates.tell(recipients, small, now_s):
+            requesters.discard(update.daemon)
+            await self._send(update.daemon, update.message)
+        for daemon in requesters:
+            ack = OwnerAck(self.endpoint.name, self.number)
+            await self._send(daemon, ack)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/host.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/host.py
@@ -1,4 +1,4 @@
-"""The central object of a daemon that serves by a platform's dialect."""
+"""Main object of a daemon that serves by a platform's dialect."""
 
 import signal
 import time
@@ -44,30 +44,30 @@
     "as_others": AdmitAll,
     "last": OverdueLast,
 }
-"""By the setting ``[admission] overdue_calls``."""
+"""Overload policies by value of the setting ``[admission] overdue_calls``."""
 
 BACKLOG = 1024
 END_MARGIN_S = 0.6
-"""Time before the end of the grace at which the daemon ends by itself."""
+"""Margin before the end of the grace period in which the daemon ends by itself."""
 
-LAST_ANSWERS_S = 0.3
-"""Part of that time in which callers read the answers of calls that were ended."""
+LAST_RESPONSES_S = 0.3
+"""Part of that margin in which callers read the responses to aborted calls."""
 
-LATE_CALLS_S = 2.6
-"""How long after the stop signal calls are taken that may last: the balancer takes
-two questions, a second apart, to send callers elsewhere, and a call that is taken
-later than 3 s after the signal must be ended before the daemon is."""
+ACCEPT_CALLS_S = 2.6
+"""How long after the stop signal calls of any duration are accepted. The load balancer
+needs two health checks, a second apart, to route callers elsewhere, and a call that is
+accepted later than 3 s after the signal must end before the daemon does."""
 
 
 class ServingHost:
-    """One daemon, with all that it owns.
+    """One daemon with its tasks and connections.
 
     Parameters
     ----------
     settings : ServingSettings
         Checked settings.
     log_descriptor : int, optional
-        Where log lines go; standard output.
+        File descriptor of the log; standard output by default.
     """
 
     def __init__(
@@ -77,7 +77,7 @@
         self._log_descriptor = log_descriptor
 
     async def run(self) -> None:
-        """Serve until a stop signal, then finish what is in flight."""
+        """Serve until a stop signal, then finish the calls in flight."""
         async with AsyncExitStack() as stack:
             hub = self._make_hub(stack)
             stack.push_async_callback(hub.pool.aclose)
@@ -150,9 +150,9 @@
         link.on_store_update = follower.heard
         lease = LeaseController(hub, follower, link.owners.stop)
         app = CallersApp(hub, CallRunner(hub, link), link.quotas)
-        held = MemoryGuard(hub)
-        handle = held.guard(app.handle)
-        face = HttpServer(
+        memory_guard = MemoryGuard(hub)
+        handle = memory_guard.guard(app.handle)
+        server = HttpServer(
             handle, app.limits, app.count_bad_request, app.count_internal_error
         )
         async with anyio.create_task_group() as callers:
@@ -161,7 +161,7 @@
                     connector = EndpointConnector(hub, Tunnels(hub), tasks)
                     hub.pool.connector = connector
                     tasks.start_soon(connector.run)
-                    await self._listen(callers, hub, face, app)
+                    await self._listen(callers, hub, server, app)
                     tasks.start_soon(hub.log.run)
                     tasks.start_soon(follower.run)
                     tasks.start_soon(lease.run)
@@ -178,28 +178,28 @@
                     tasks.start_soon(SoftwareRecords(hub).run)
                     refusals = RefusalRecords(hub, link.crashes.cleared_calls)
                     tasks.start_soon(refusals.run)
-                    tasks.start_soon(held.run)
-                    await self._await_stop(hub, lease, face, app, link.forwarding)
+                    tasks.start_soon(memory_guard.run)
+                    await self._await_stop(hub, lease, server, app, link.forwarding)
                     callers.cancel_scope.cancel()
             except Exception as error:
                 app.count_internal_error(error)
-                # A cancellation meanwhile must not replace the error.
+                # A cancellation during cleanup must not replace the error.
                 with anyio.CancelScope(shield=True):
-                    await self._end_calls(face, app)
+                    await self._abort_calls(server, app)
                 raise
 
     def _address(self, name: str) -> tuple[str, int]:
         return split_address(self._settings.get("listen", name))
 
     async def _listen(
-        self, callers: TaskGroup, hub: Hub, face: HttpServer, app: CallersApp
+        self, callers: TaskGroup, hub: Hub, server: HttpServer, app: CallersApp
     ) -> None:
-        side = AdminHandlers(hub)
+        admin = AdminHandlers(hub)
         counts = app.count_bad_request, app.count_internal_error
-        ready = HttpServer(side.ready, side.limits, *counts)
-        metrics = HttpServer(side.metrics, side.limits, *counts)
-        faces = {"callers": face, "ready": ready, "metrics": metrics}
-        for name, served in faces.items():
+        ready = HttpServer(admin.ready, admin.limits, *counts)
+        metrics = HttpServer(admin.metrics, admin.limits, *counts)
+        servers = {"callers": server, "ready": ready, "metrics": metrics}
+        for name, served in servers.items():
             ip, port = self._address(name)
             listener = await anyio.create_tcp_listener(
                 local_host=ip, local_port=port, backlog=BACKLOG, reuse_port=False
@@ -210,70 +210,71 @@
         self,
         hub: Hub,
         lease: LeaseController,
-        face: HttpServer,
+        server: HttpServer,
         app: CallersApp,
         forwarding: TunnelForwarder,
     ) -> None:
-        """Wait for a stop signal, and finish what is in flight.
+        """Wait for a stop signal, and finish the calls in flight.
 
-        Signals are taken until that is done. Where nobody takes them any more the next
-        one, of changed settings or a second one to stop, ends the process at once, and
-        with it every answer that it is passing on.
+        Signals are handled until that is done. Without a handler the next one, a
+        reload or a second stop signal, would end the process at once, and with it all
+        responses in flight.
         """
         stop = signal.SIGTERM, signal.SIGINT
         with anyio.open_signal_receiver(*stop, signal.SIGHUP) as signals:
             async for number in signals:
                 if number in stop:
                     break
-                self._note_signal(hub, number)
+                self._log_signal(hub, number)
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(self._note_signals, hub, signals)
-                await self._drain(hub, lease, face, app, forwarding)
+                tasks.start_soon(self._log_signals, hub, signals)
+                await self._drain(hub, lease, server, app, forwarding)
                 tasks.cancel_scope.cancel()
 
-    async def _note_signals(
+    async def _log_signals(
         self, hub: Hub, signals: AsyncIterator[signal.Signals]
     ) -> None:
         async for number in signals:
-            self._note_signal(hub, number)
+            self._log_signal(hub, number)
 
     @staticmethod
-    def _note_signal(hub: Hub, number: signal.Signals) -> None:
-        # All that can change at run time comes from the store; and a daemon that stops
-        # has its time to the end already.
+    def _log_signal(hub: Hub, number: signal.Signals) -> None:
+        # Nothing to do: all that can change at run time comes from the store, and the
+        # deadline of a daemon that stops is already set.
         hub.log.info("signal.taken", signal=number.name, draining=hub.draining)
 
     async def _drain(
         self,
         hub: Hub,
         lease: LeaseController,
-        face: HttpServer,
+        server: HttpServer,
         app: CallersApp,
         forwarding: TunnelForwarder,
     ) -> None:
-        began_s = anyio.current_time()
-        ends_s = began_s + self._settings.get("limits", "grace_s") - END_MARGIN_S
+        started_s = anyio.current_time()
+        ends_s = started_s + self._settings.get("limits", "grace_s") - END_MARGIN_S
         hub.draining = True
-        face.closing = True
+        server.closing = True
         hub.log.info("daemon.draining", running=app.running)
         await lease.hand_over()
-        await anyio.sleep(began_s + LATE_CALLS_S - anyio.current_time())
-        # What a caller sends from here on crosses the close, and is not passed on.
+        await anyio.sleep(started_s + ACCEPT_CALLS_S - anyio.current_time())
+        # Requests that arrive from here on have crossed the closing of their
+        # connections, and are rejected if they may outlast this daemon.
         hub.ends_s = ends_s
         while anyio.current_time() < ends_s:
-            face.close_idle()
-            if not (app.running or face.open_connections or forwarding.tunnels):
+            server.close_idle()
+            if not (app.running or server.open_connections or forwarding.tunnels):
                 return
             await anyio.sleep(0.1)
         hub.log.error("daemon.cut", running=app.running)
-        await self._end_calls(face, app)
+        await self._abort_calls(server, app)
 
     @staticmethod
-    async def _end_calls(face: HttpServer, app: CallersApp) -> None:
-        """End all calls, and give callers a moment to read the answers."""
-        face.closing = True
+    async def _abort_calls(server: HttpServer, app: CallersApp) -> None:
+        """Abort all calls, and give callers a moment to read the responses."""
+        server.closing = True
         app.end_calls()
-        with anyio.move_on_after(LAST_ANSWERS_S):
-            while face.open_connections:
-                face.close_idle()
+        with anyio.move_on_after(LAST_RESPONSES_S):
+            while server.open_connections:
+                server.close_idle()
                 await anyio.sleep(0.02)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/hub.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/hub.py
@@ -1,4 +1,4 @@
-"""What the tasks of one serving daemon share."""
+"""State that the tasks of one serving daemon share."""
 
 import sys
 import time
@@ -32,19 +32,19 @@
 from knapweedbridge_daemon.serving.http_client import ConnectionPool
 from knapweedbridge_daemon.serving.metrics_registry import MetricsRegistry
 
-SETTLE_S = 3.0
+DEFAULT_SETTLE_S = 3.0
 
 Send = Callable[[str, Any], Awaitable[None]]
 
 
 def suspended_clock_s() -> float:
-    """Return a clock that also counts while the host is suspended, in seconds."""
+    """Return the time of a clock that also runs while the host is suspended."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 @dataclass(slots=True)
 class Identity:
-    """Who this daemon is."""
+    """Identity of this daemon."""
 
     name: str
     incarnation: int
@@ -53,20 +53,20 @@
 
 
 class ChangeNotifier:
-    """Wakes the tasks that wait for a change of what is believed."""
+    """Wakes the tasks that wait for a change of the shared state."""
 
     def __init__(self) -> None:
-        # Made where something waits: most changes are told while nothing does.
+        # Created by the first waiter, as most changes come while no task waits.
         self._event: anyio.Event | None = None
 
     def tell(self) -> None:
-        """Wake all that wait."""
+        """Wake all waiting tasks."""
         if self._event is not None:
             self._event.set()
             self._event = None
 
     async def wait(self, longest_s: float) -> None:
-        """Wait for a change, or for some seconds."""
+        """Wait for a change, at most ``longest_s`` seconds."""
         if self._event is None:
             self._event = anyio.Event()
         with anyio.move_on_after(longest_s):
@@ -75,41 +75,41 @@
 
 @dataclass(slots=True)
 class Hub:
-    """Beliefs, dialects and measures of one daemon.
+    """Cluster state, dialects and metrics of one daemon.
 
     Parameters
     ----------
     identity : Identity
-        Who it is.
+        Identity of the daemon.
     dialects : Dialects
-        How others are spoken to.
+        Protocols of callers, endpoints and the store.
     budget : RetryBudget
-        Bounds repeated sends.
+        Bound on retries.
     log, measures
-        Where decisions are told.
+        Log of decisions, and counters.
     paths : EndpointPaths
-        Which endpoints this host cannot reach itself.
+        Endpoints that this host cannot reach directly.
     store_age : StoreAge
-        How old what is known of the store is, by the clock `steady_s`.
+        Age of the known state of the store, by the clock `steady_s`.
     outage : StoreOutage
-        Until when entries that are missing may have lapsed with the store, by the
+        Until when missing entries may have expired in an outage of the store, by the
         event loop's clock.
     lease_revision : int
-        The store's revision when the present lease began.
+        Revision of the store at the start of the present lease.
     store_era : int
-        The newest era of the store that was heard of; see `store_eras`.
+        Newest known era of the store; see `store_eras`.
     ends_s : float or None
-        When this daemon ends, where it takes no calls that may last longer.
+        When this daemon ends, once it rejects calls that may last longer.
     lease_s : float
-        Life of a daemon's lease, in seconds.
+        Duration of a daemon's lease, in seconds.
     tolerance : QuotaTolerance
-        What the operators accept beyond the quotas of client accounts.
+        Use beyond the quotas of client accounts that operators accept.
     deadlines : UsualDeadlines
-        Tells what callers have spent on earlier attempts.
+        Estimates the time that callers have spent on earlier attempts.
     overload : OverloadPolicy
-        What becomes of calls that engines cannot answer in time.
+        Treatment of calls that engines cannot answer in time.
     memory : MemoryBudget
-        Bound on what is held for callers.
+        Bound on the memory that is held for callers.
     first_byte_timeouts : FirstByteTimeouts
         Bounds the patience with attempts that have not begun.
     """
@@ -127,7 +127,7 @@
     load_times: LoadTimes = field(default_factory=LoadTimes)
     rates: EngineRates = field(default_factory=LearnedRates)
     store_age: StoreAge = field(default_factory=StoreAge)
-    outage: StoreOutage = field(default_factory=lambda: StoreOutage(SETTLE_S))
+    outage: StoreOutage = field(default_factory=lambda: StoreOutage(DEFAULT_SETTLE_S))
     steady_s: Callable[[], float] = suspended_clock_s
     engines_changed: ChangeNotifier = field(default_factory=ChangeNotifier)
     cluster_changed: ChangeNotifier = field(default_factory=ChangeNotifier)
@@ -148,11 +148,11 @@
         self.first_byte_timeouts = FirstByteTimeouts(self.cluster, self.steady_s)
 
     def note_store_era(self, era: int) -> None:
-        """Take the era of what the store said; a new one ends all that hung on it.
+        """Record the era of a response of the store; a new era ends the lease.
 
-        A store that came back from an older copy has lost the leases, so another daemon
-        may own what this one does. And it may show a record of before, by which this
-        daemon would take itself for the owner of what it lost long ago.
+        A store that was restored from an older copy has lost the leases, so another
+        daemon may own the engines of this one. It may also show an outdated record, by
+        which this daemon would still own an engine that it lost long ago.
         """
         if era <= self.store_era:
             return
@@ -166,22 +166,22 @@
 
     @property
     def news_age_s(self) -> float:
-        """How old what is known of the store may be, in seconds."""
+        """Upper bound on the age of the known state of the store, in seconds."""
         return self.store_age.age_s(self.steady_s())
 
     @property
     def ready(self) -> bool:
-        """Whether callers may be sent here."""
+        """Whether callers may be routed to this daemon."""
         known = self.cluster.deployment is not None and self.synced
         return known and not self.draining
 
     @property
     def daemons(self) -> int:
-        """Daemons that are believed to serve, this one among them."""
+        """Number of daemons that are known to serve, including this one."""
         return max(1, len(self.cluster.daemons))
 
     def engine_limits(self, service: str) -> EngineLimits | None:
-        """Return what engines of a service hold; None for a plain service."""
+        """Return the capacity of a service's engines; None for a plain service."""
         deployment = self.cluster.deployment
         return deployment.engine_limits(service) if deployment else None
 
--- a/packages/daemon/src/knapweedbridge_daemon/serving/item_reader.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/item_reader.py
@@ -1,4 +1,4 @@
-"""Reads items of the platform's store as beliefs, and tells of those it cannot read."""
+"""Decode items of the platform's store, and log those that cannot be decoded."""
 
 from knapweedbridge_core.serving.cluster_state import EndpointUnreadable, StoreEvent
 from knapweedbridge_daemon.serving.dialects import DialectError
@@ -8,12 +8,12 @@
 
 
 class ItemReader:
-    """Reads items, those of the platform and the daemons' own.
+    """Decoder of items, both the platform's and those written by daemons.
 
     Parameters
     ----------
     hub : Hub
-        Dialects and the log.
+        Shared state: dialects, log and metrics.
     """
 
     def __init__(self, hub: Hub) -> None:
@@ -21,17 +21,17 @@
         self._unreadable: set[str] = set()
 
     def read(self, item: StoreItem) -> StoreEvent | None:
-        """Return what an item says; None where that is nothing, or cannot be read.
+        """Return the event of an item; None if it has none or cannot be decoded.
 
-        What was believed before stays in force then.
+        An item that cannot be decoded leaves the previous value in force.
         """
         try:
             store_event = self._decode(item)
         except DialectError as error:
-            self._note_unreadable(item, str(error))
+            self._record_unreadable(item, str(error))
             return None
         if isinstance(store_event, EndpointUnreadable):
-            self._note_unreadable(item, store_event.cause)
+            self._record_unreadable(item, store_event.cause)
         elif item.key in self._unreadable:
             self._unreadable.discard(item.key)
             self._hub.log.info("store.readable", key=item.key, revision=item.revision)
@@ -43,9 +43,9 @@
             return read_own(dialects.daemon_keys, item.key, item.value, item.revision)
         return dialects.store_items.read(item.key, item.value, item.revision)
 
-    def _note_unreadable(self, item: StoreItem, cause: str) -> None:
+    def _record_unreadable(self, item: StoreItem, cause: str) -> None:
         self._hub.metrics.count("store_unreadable")
-        # Another writer may repeat itself each second: one line tells it.
+        # A writer may repeat a bad item each second: it is logged only once.
         if item.key not in self._unreadable:
             self._unreadable.add(item.key)
             self._hub.log.error(
--- a/packages/daemon/src/knapweedbridge_daemon/serving/lease_controller.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/lease_controller.py
@@ -1,4 +1,4 @@
-"""Keeps this daemon's lease and record in the store, and claims engines under it."""
+"""Hold this daemon's lease and record in the store, and claim engines under it."""
 
 import random
 import secrets
@@ -29,35 +29,35 @@
 from knapweedbridge_daemon.serving.store_follower import StoreFollower
 from knapweedbridge_daemon.store import LeaseGoneError, Transaction
 
-RENEWALS_A_LEASE = 3
-"""Renewals in the life of a lease: one may be lost, and the next is in time."""
+RENEWALS_PER_LEASE = 3
+"""Renewals in the duration of a lease: if one is lost, the next is still in time."""
 
-RENEW_S = 1.2
-"""Longest pause between renewals. An outage of the store finds a lease this much used
-at most, so with a lease of 10 s owners go on ordering for 8.2 s; it costs the store 0.8
-calls a second a daemon, at a tenth of the price."""
+MAX_RENEWAL_INTERVAL_S = 1.2
+"""Longest interval between renewals. A lease is at most this old when an outage of the
+store begins, so with a lease of 10 s owners keep ordering for 8.2 s. It costs the store
+0.8 calls per second and daemon, at a tenth of the price."""
 
-FIRST_CLAIM_S = 0.3
-"""Pause before the first claim: daemons that start together must all be listed, or
-the first would own every engine."""
+FIRST_CLAIM_DELAY_S = 0.3
+"""Delay of the first claim: daemons that start together must all be listed, or the
+first would own every engine."""
 
-LOOK_S = 0.4
-"""Pause between looks for engines without an owner, where nothing changes."""
+CHECK_INTERVAL_S = 0.4
+"""Interval between checks for engines without an owner while nothing changes."""
 
 SECRET_BYTES = 32
 
 
 class LeaseController:
-    """The task that holds the lease and what hangs on it.
+    """Tasks that hold the lease, and the records that depend on it.
 
     Parameters
     ----------
     hub : Hub
-        Beliefs and dialects.
+        Shared state.
     follower : StoreFollower
-        Told when the store answers again.
+        Its watch is restarted when the store answers again.
     stop_owning : callable, optional
-        Ends the orders to an engine that is given up.
+        Stops the orders to an engine that is released.
     """
 
     def __init__(
@@ -67,7 +67,7 @@
         stop_owning: StopOwning | None = None,
     ) -> None:
         self._hub = hub
-        self._links = LostLinks(hub, stop_owning)
+        self._lost_links = LostLinks(hub, stop_owning)
         self._follower = follower
         self._lease_s = hub.lease_s
         self._lease = ""
@@ -81,24 +81,24 @@
     async def run(self) -> None:
         """Hold the lease until cancelled."""
         while True:
-            pause_s = min(RENEW_S, self._lease_s / RENEWALS_A_LEASE)
+            pause_s = min(MAX_RENEWAL_INTERVAL_S, self._lease_s / RENEWALS_PER_LEASE)
             began_s = anyio.current_time()
             try:
                 await self._hold()
-                self._note_answer()
+                self._record_answer()
             except LeaseGoneError:
-                self._lose()
+                self._drop_lease()
                 pause_s = 0.05
             except StoreError as error:
-                self._note_failure(error, began_s)
+                self._record_failure(error, began_s)
                 pause_s = random.uniform(0.2, 0.5)
             await anyio.sleep(pause_s)
 
     def _require_era(self) -> None:
-        """Raise LeaseGoneError where the lease is of an era of the store that is over.
+        """Raise LeaseGoneError if the lease is of an earlier era of the store.
 
-        A store that came back older gives ids of leases out again: claims hung on
-        another daemon's lease, and stayed when their own daemon was gone.
+        A store that was rolled back issues lease ids again. Claims would then depend on
+        another daemon's lease, and outlive their own daemon.
         """
         self._hub.note_store_era(self._hub.dialects.store.era)
         if self._lease and self._lease_era != self._hub.store_era:
@@ -122,8 +122,8 @@
             self._hub.lease.record_renewal(sent_s, left_s)
             if self._is_recorded():
                 return
-            # The record's writing got no answer, or the store took the keys away
-            # without a word: others then know nothing of this daemon.
+            # The write of the record got no response, or the store has deleted the
+            # keys without an error: others then know nothing of this daemon.
             self._hub.log.info("lease.record_missing", lease=self._lease)
         revision = await self._put_record()
         if self._hub.lease_revision == sys.maxsize:
@@ -157,20 +157,20 @@
         )
         return done.revision
 
-    def _lose(self) -> None:
+    def _drop_lease(self) -> None:
         self._hub.log.error("lease.lost", lease=self._lease)
         self._lease = ""
         self._hub.lease.record_loss()
         self._hub.lease_revision = sys.maxsize
         self._hub.cluster_changed.tell()
 
-    def _note_answer(self) -> None:
+    def _record_answer(self) -> None:
         self._hub.outage.answered(anyio.current_time())
         if self._failing:
             self._follower.restart_watch()
         self._failing = False
 
-    def _note_failure(self, error: StoreError, began_s: float) -> None:
+    def _record_failure(self, error: StoreError, began_s: float) -> None:
         if not self._failing:
             self._hub.log.error("lease.not_renewed", error=str(error))
         self._failing = True
@@ -179,11 +179,11 @@
     async def claim(self) -> None:
         """Claim engines that have no owner, until cancelled."""
         while True:
-            await self._hub.cluster_changed.wait(LOOK_S)
+            await self._hub.cluster_changed.wait(CHECK_INTERVAL_S)
             if self._hub.draining or not self._lease or not self._hub.synced:
                 continue
-            await self._links.publish(self._lease)
-            await self._links.release_unreachable(self._lease)
+            await self._lost_links.publish(self._lease)
+            await self._lost_links.release_unreachable(self._lease)
             for endpoint in self._due():
                 if self._lease_era == self._hub.store_era:
                     await self._claim(endpoint)
@@ -193,7 +193,7 @@
         daemons = hub.cluster.daemons
         own = daemons.get(hub.identity.name)
         if own is None:
-            # Those that are listed claim: a daemon that is not would come before none.
+            # Only listed daemons claim: others have no place in the order of claims.
             return []
         due: list[Endpoint] = []
         if hub.paths.has_lost_links:
@@ -204,35 +204,39 @@
             record = endpoint.record
             free_s = hub.cluster.free_since_s.get(record.endpoint)
             if free_s is None:
-                free_s = max(endpoint.first_listed_s, self._started_s + FIRST_CLAIM_S)
+                free_s = max(
+                    endpoint.first_listed_s, self._started_s + FIRST_CLAIM_DELAY_S
+                )
             free_for_s = now_s - free_s
-            able = self._able_to_own(record.endpoint)
-            if may_claim(own, record.endpoint, record.data_centre, able, free_for_s):
+            eligible = self._find_eligible(record.endpoint)
+            if may_claim(
+                own, record.endpoint, record.data_centre, eligible, free_for_s
+            ):
                 due.append(endpoint)
         return due
 
-    def _able_to_own(self, engine: str) -> Iterable[DaemonRecord]:
+    def _find_eligible(self, engine: str) -> Iterable[DaemonRecord]:
         """Return the daemons that may claim a free engine.
 
-        One that has given it up does not reach it, and others need not wait for its
-        turn to pass.
+        A daemon that has released it does not reach it, and others need not wait for
+        its turn to pass.
         """
         cluster = self._hub.cluster
         without_links = cluster.without_links
         released = cluster.owners.get(engine)
         if released is None and not without_links:
             return cluster.daemons.values()
-        given_up_by = released.incarnation if released else None
+        released_by = released.incarnation if released else None
         return [
             each
             for each in cluster.daemons.values()
-            if each.name not in without_links and each.incarnation != given_up_by
+            if each.name not in without_links and each.incarnation != released_by
         ]
 
     def _find_candidates(self) -> list[Endpoint]:
         """Return the engines that no other living daemon owns.
 
-        They are looked for anew only when owners, daemons or endpoints changed.
+        The result is cached until owners, daemons or endpoints change.
         """
         cluster = self._hub.cluster
         state = cluster.owner_changes, cluster.fleet.changes
@@ -251,17 +255,17 @@
     def _is_free(self, endpoint: Endpoint, now_s: float) -> bool:
         if self._hub.engine_limits(endpoint.record.service) is None:
             return False
-        if endpoint.leaves or not self._links.may_own(endpoint, now_s):
+        if endpoint.leaves or not self._lost_links.may_own(endpoint, now_s):
             return False
         ownerless = self._hub.cluster.is_ownerless(endpoint.name)
-        if not ownerless and not self._is_left_over(endpoint.name):
+        if not ownerless and not self._is_outdated_own(endpoint.name):
             return False
         return now_s - self._claimed_s.get(endpoint.name, -10.0) > 1.0
 
-    def _is_left_over(self, endpoint: str) -> bool:
-        """Tell whether a record names this daemon that is not of its present lease.
+    def _is_outdated_own(self, endpoint: str) -> bool:
+        """Return whether the record names this daemon but is older than its lease.
 
-        Nobody else claims such an engine, as its owner is listed.
+        No other daemon claims such an engine, as its owner is listed.
         """
         record = self._hub.cluster.owners.get(endpoint)
         if record is None or record.owner != self._hub.identity.name:
@@ -280,10 +284,10 @@
         try:
             done = await hub.dialects.store.commit(transaction)
         except LeaseGoneError:
-            self._lose()
+            self._drop_lease()
             return
         except StoreError as error:
-            # It may have been written: then the watch tells.
+            # It may have been written all the same; the watch will show it.
             hub.log.info("owner.claim_failed", engine=endpoint.name, error=str(error))
             return
         hub.log.info(
@@ -294,7 +298,7 @@
         )
 
     async def hand_over(self) -> None:
-        """Give up all engines, and tell that this daemon ends."""
+        """Release all engines, and record that this daemon drains."""
         hub = self._hub
         owned = {
             endpoint: record
@@ -304,18 +308,18 @@
         hub.lease.record_loss()
         if not self._lease:
             return
-        # An order that is on its way must arrive before the successor's first.
+        # An order in flight must arrive before the successor's first.
         await anyio.sleep(ORDER_TIMEOUT_S)
         try:
             await self._put_record()
             for endpoint, record in owned.items():
                 await give_up_engine(hub, endpoint, record, self._lease)
         except StoreError as error:
-            # The lease lapses by itself; successors wait that long.
+            # Successors wait until the lease expires.
             hub.log.error("owner.hand_over_failed", error=str(error))
 
     async def create_secret(self) -> None:
-        """Write the secret that daemons share, where there is none yet."""
+        """Write the secret that daemons share, unless there is one."""
         key = self._hub.dialects.daemon_keys.secret
         while not self._hub.cluster.secret:
             if self._hub.synced:
@@ -326,4 +330,4 @@
                     )
                 except StoreError as error:
                     self._hub.log.error("secret.not_written", error=str(error))
-            await self._hub.cluster_changed.wait(LOOK_S)
+            await self._hub.cluster_changed.wait(CHECK_INTERVAL_S)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/lost_links.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/lost_links.py
@@ -1,4 +1,4 @@
-"""Gives up engines that this host does not reach, and says that it has no links."""
+"""Release engines that this host cannot reach, and publish that it has no links."""
 
 import math
 from collections.abc import Awaitable, Callable
@@ -17,7 +17,13 @@
 async def give_up_engine(
     hub: Hub, engine: str, record: OwnerRecord, lease: str
 ) -> None:
-    """Write that an engine has no owner; raises StoreError."""
+    """Write that an engine has no owner.
+
+    Raises
+    ------
+    StoreError
+        If the write fails.
+    """
     key = hub.dialects.daemon_keys.owner(engine)
     value = pack_owner("", hub.identity.incarnation)
     write = Transaction({key: record.number}, {key: value}, lease=lease)
@@ -25,14 +31,14 @@
 
 
 class LostLinks:
-    """What follows for the ownership of engines from paths that are cut.
+    """Ownership of engines to which the path of this host is cut.
 
     Parameters
     ----------
     hub : Hub
-        The paths of this host, and the records of owners.
+        Shared state: the paths of this host, and the records of owners.
     stop_owning : callable or None
-        Ends the orders to an engine that is given up.
+        Stops the orders to an engine that is released.
     """
 
     __slots__ = ("_hub", "_is_published", "_released_s", "_stop_owning")
@@ -46,15 +52,15 @@
     def may_own(self, engine: Endpoint, now_s: float) -> bool:
         """Return whether this host may claim an engine.
 
-        Not soon after it gave the engine up: owners that take turns would each mistake
-        the other for a former one.
+        It may not soon after it has released the engine: two owners that alternate
+        would each take the other for a former one.
         """
         released_s = self._released_s.get(engine.name, -math.inf)
-        is_reached = not self._hub.paths.is_cut(engine.record.address)
-        return is_reached and now_s - released_s >= self._hub.lease_s
+        is_reachable = not self._hub.paths.is_cut(engine.record.address)
+        return is_reachable and now_s - released_s >= self._hub.lease_s
 
     async def publish(self, lease: str) -> None:
-        """Write into the store whether this host has links to endpoints."""
+        """Write a change of whether this host has links to endpoints into the store."""
         hub = self._hub
         has_lost_links = hub.paths.has_lost_links
         if has_lost_links == self._is_published:
@@ -73,7 +79,7 @@
         hub.log.info("links.lost" if has_lost_links else "links.back")
 
     async def release_unreachable(self, lease: str) -> None:
-        """Give up the engines that this host does not reach, though others do."""
+        """Release the engines that this host cannot reach though others can."""
         hub = self._hub
         if not len(hub.paths) or self._stop_owning is None:
             return
--- a/packages/daemon/src/knapweedbridge_daemon/serving/main.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/main.py
@@ -1,4 +1,4 @@
-"""Starts a daemon that serves by a platform's dialect."""
+"""Entry point of a daemon that serves by a platform's dialect."""
 
 import sys
 from pathlib import Path
@@ -13,7 +13,7 @@
     read_serving_settings,
 )
 
-EXIT_BAD_SETTINGS = 2
+EXIT_INVALID_SETTINGS = 2
 
 
 def serve(settings: ServingSettings) -> None:
@@ -26,10 +26,10 @@
 
 
 def serve_file(path: Path) -> None:
-    """Check a settings file and serve by it; ends the process where it has faults."""
+    """Check a settings file and serve by it; exit if the file is invalid."""
     try:
         settings = read_serving_settings(str(path), path.read_text(encoding="utf-8"))
         serve(settings)
     except (CheckError, DaemonError, OSError) as error:
         print(error, file=sys.stderr)
-        sys.exit(EXIT_BAD_SETTINGS)
+        sys.exit(EXIT_INVALID_SETTINGS)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/own_records.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/own_records.py
@@ -1,4 +1,4 @@
-"""What daemons write of themselves into the store, in msgpack."""
+"""Encoding of the records that daemons write into the store, in msgpack."""
 
 import msgpack
 
@@ -32,22 +32,22 @@
 
 
 def pack_owner(owner: str, incarnation: int) -> bytes:
-    """Encode an owner's record; an empty owner hands the engine over."""
+    """Encode an owner's record; an empty owner releases the engine."""
     return msgpack.packb([owner, incarnation])
 
 
 def pack_protocol(incarnation: int, protocol: int) -> bytes:
-    """Encode which protocol a daemon's start speaks."""
+    """Encode the protocol version of a daemon's incarnation."""
     return msgpack.packb([incarnation, protocol])
 
 
 def pack_links_lost(incarnation: int) -> bytes:
-    """Encode that the host of a daemon's start reaches no endpoint."""
+    """Encode that the host of a daemon's incarnation reaches no endpoint."""
     return msgpack.packb([incarnation])
 
 
 def pack_software(versions: set[str]) -> bytes:
-    """Encode which software versions of a service have served side by side."""
+    """Encode the software versions of a service that have served side by side."""
     return msgpack.packb(sorted(versions))
 
 
@@ -59,7 +59,13 @@
 def read_own(
     keys: DaemonKeys, key: str, value: bytes | None, revision: int
 ) -> StoreEvent | None:
-    """Decode an item that daemons keep; raises DialectError."""
+    """Decode an item that a daemon has written.
+
+    Raises
+    ------
+    DialectError
+        If the value is malformed.
+    """
     kind, _, name = key.removeprefix(keys.prefix).partition("/")
     try:
         if kind == "secret":
@@ -85,9 +91,9 @@
     if value is None:
         return DaemonGone(name)
     incarnation, address, data_centre, draining = msgpack.unpackb(value)
-    _check(incarnation, int)
-    _check(address, str)
-    _check(data_centre, str)
+    _check_type(incarnation, int)
+    _check_type(address, str)
+    _check_type(data_centre, str)
     return DaemonNamed(
         DaemonRecord(name, incarnation, address, data_centre, bool(draining))
     )
@@ -97,8 +103,8 @@
     if value is None:
         return OwnerGone(name)
     owner, incarnation = msgpack.unpackb(value)
-    _check(owner, str)
-    _check(incarnation, int)
+    _check_type(owner, str)
+    _check_type(incarnation, int)
     return OwnerNamed(name, OwnerRecord(owner, incarnation, revision))
 
 
@@ -106,7 +112,7 @@
     if value is None:
         return LinksBack(name)
     (incarnation,) = msgpack.unpackb(value)
-    _check(incarnation, int)
+    _check_type(incarnation, int)
     return LinksLost(name, incarnation)
 
 
@@ -114,25 +120,25 @@
     if value is None:
         return CallAllowed(mark)
     (for_s,) = msgpack.unpackb(value)
-    _check(for_s, float)
+    _check_type(for_s, float)
     return CallRefused(mark, for_s)
 
 
 def _read_software(service: str, value: bytes | None) -> StoreEvent:
     versions = msgpack.unpackb(value) if value is not None else []
-    _check(versions, list)
+    _check_type(versions, list)
     for each in versions:
-        _check(each, str)
+        _check_type(each, str)
     return SoftwareRecorded(service, tuple(versions))
 
 
 def _read_protocol(name: str, value: bytes) -> StoreEvent:
     incarnation, protocol = msgpack.unpackb(value)
-    _check(incarnation, int)
-    _check(protocol, int)
+    _check_type(incarnation, int)
+    _check_type(protocol, int)
     return ProtocolNamed(name, incarnation, protocol)
 
 
-def _check(value: object, kind: type) -> None:
+def _check_type(value: object, kind: type) -> None:
     if not isinstance(value, kind):
         raise TypeError(f"{value!r:.50} is no {kind.__name__}")
--- a/packages/daemon/src/knapweedbridge_daemon/serving/settings.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a daemon that serves by a platform's dialect: one INI file."""
+"""Settings of a daemon that serves by a platform's dialect, from one INI file."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -17,112 +17,114 @@
 
 SECTIONS: dict[str, Section] = {
     "host": Section(
-        "Who this daemon is.",
+        "Identity of this daemon.",
         {
             "name": Key(Name(), None, "Name of the host."),
-            "data_centre": Key(Name(), None, "Data centre the host stands in."),
+            "data_centre": Key(Name(), None, "Data centre of the host."),
         },
     ),
     "listen": Section(
-        "The addresses this daemon listens on.",
+        "Addresses this daemon listens on.",
         {
-            "callers": Key(Address(), None, "Address of the callers' face."),
-            "ready": Key(Address(), None, "Address that the balancer asks."),
-            "peers": Key(Address(), None, "Address for streams from other daemons."),
-            "metrics": Key(Address(), None, "Address that counters are read from."),
+            "callers": Key(Address(), None, "Address for callers."),
+            "ready": Key(
+                Address(), None, "Address for the load balancer's health checks."
+            ),
+            "peers": Key(Address(), None, "Address for connections of other daemons."),
+            "metrics": Key(Address(), None, "Address for reading metrics."),
         },
     ),
     "serving": Section(
-        "How callers, endpoints and the store are spoken to.",
+        "Protocols of callers, endpoints and the store.",
         {
             "dialect": Key(Name(), None, "Package of the platform's dialect."),
         },
     ),
     "store": Section(
-        "The platform's store.",
+        "Store of the platform.",
         {
-            "address": Key(Address(), None, "IP number and port of the store."),
-            "timeout_s": Key(Number(0.05, 60), "1.0", "Bound on one call, seconds."),
+            "address": Key(Address(), None, "IP address and port of the store."),
+            "timeout_s": Key(Number(0.05, 60), "1.0", "Timeout of a call, seconds."),
             "lease_ms": Key(
                 Number(500, 600_000),
                 "10000",
-                "Life of a daemon's lease, ms. Engines are ordered through an outage "
-                "of the store that is 1.8 s shorter; one whose owner is gone for good "
-                "gets no orders for as long.",
+                "Duration of a daemon's lease, ms. Engines get orders through outages "
+                "of the store that are 1.8 s shorter; an engine whose owner has failed "
+                "gets none for as long as the lease.",
             ),
             "settle_ms": Key(
                 Number(100, 600_000),
                 "3000",
-                "Disturbance of the store counts on for this, ms.",
+                "How long an outage of the store counts after its end, ms.",
             ),
         },
     ),
     "limits": Section(
-        "Bounds on repeats, on the use of client accounts and on stopping.",
+        "Limits on retries, on the use of client accounts and on shutdown.",
         {
-            "retry_ratio": Key(Number(0, 10), "0.2", "Repeats allowed a request."),
+            "retry_ratio": Key(Number(0, 10), "0.2", "Retries allowed per request."),
             "retry_slack": Key(
-                Number(0, 100_000), "50", "Repeats allowed besides, over all daemons."
+                Number(0, 100_000), "50", "Further retries allowed, over all daemons."
             ),
             "retry_window_s": Key(
-                Number(0.1, 600), "10", "Window that repeats are counted in, seconds."
+                Number(0.1, 600), "10", "Window in which retries are counted, seconds."
             ),
             "quota_window_s": Key(
                 Number(0.1, 3600),
                 "8",
-                "Window that the use of client accounts is counted in, seconds.",
+                "Window in which the use of client accounts is counted, seconds.",
             ),
             "quota_over": Key(
                 Number(0, 10),
                 "0.1",
-                "Share beyond an account's quota that is accepted in a window.",
+                "Share over an account's quota that is accepted in a window.",
             ),
             "quota_slack": Key(
                 Number(0, 1_000_000_000),
                 "0",
-                "Units beyond an account's quota that are accepted besides.",
+                "Further units over an account's quota that are accepted.",
             ),
             "held_mb": Key(
                 Number(0, 1_000_000),
                 "0",
-                "Most that is held for callers before requests with bodies are "
-                "refused, MB; 0: any amount.",
+                "Memory held for callers above which requests with bodies are "
+                "refused, MB; 0: unlimited.",
             ),
             "tunnels": Key(
                 Number(0, 100_000),
                 "400",
-                "Connections to endpoints that this host carries at once for hosts "
+                "Concurrent connections to endpoints that this host tunnels for hosts "
                 "that have lost their links.",
             ),
             "grace_s": Key(
-                Number(0.5, 600), "8", "Time from a stop signal to the end, seconds."
+                Number(0.5, 600), "8", "Time from a stop signal to the exit, seconds."
             ),
         },
     ),
     "engines": Section(
-        "What is learnt of engines, and which versions of adapters they may serve.",
+        "Learning of engine speeds, and versions of adapters that engines may serve.",
         {
             "older_version_ms": Key(
                 Number(0, 600_000),
                 "5000",
-                "How long after a version of an adapter was acknowledged work may "
-                "begin on an older one, ms.",
+                "How long calls may start on an older version of an adapter after "
+                "a newer one was acknowledged, ms.",
             ),
             "learn_speeds": Key(
                 Choice("yes", "no"),
                 "yes",
-                "yes: owners learn how fast each engine is in times of its service's "
-                "usual one; no: all engines of a service are taken to be alike.",
+                "yes: owners learn the speed of each engine, relative to the usual one "
+                "of its service; no: all engines of a service count as equally fast.",
             ),
         },
     ),
     "admission": Section(
-        "Which calls engines take while they cannot answer all in time.",
+        "Admission of calls while engines cannot answer all in time.",
         {
             "overdue_calls": Key(
                 Choice("as_others", "last"),
                 "as_others",
-                "Calls whose response is late whatever is done compete with all others "
+                "Calls whose response will be late in any case compete with all others "
                 "(as_others), or get the capacity that others leave (last).",
             ),
         },
@@ -138,9 +140,9 @@
             "lines_per_s": Key(
                 Number(1, 100_000),
                 "200",
-                "Lines a second of one kind; more are counted.",
+                "Lines per second of one kind; further ones are only counted.",
             ),
-            "format": Key(Text(), "json", "Only json."),
+            "format": Key(Text(), "json", "Format of log lines; only json."),
         },
     ),
 }
@@ -148,7 +150,7 @@
 
 @dataclass(slots=True)
 class ServingSettings:
-    """Checked settings, a value a section and key."""
+    """Checked settings, by section and key."""
 
     values: dict[str, dict[str, Any]]
 
@@ -158,7 +160,7 @@
 
 
 def is_serving_settings(text: str) -> bool:
-    """Tell whether a settings file is of this kind."""
+    """Return whether a settings file is for a daemon of this kind."""
     return "[serving]" in text
 
 
@@ -168,9 +170,9 @@
     Raises
     ------
     CheckError
-        With every fault, each naming file, section and key.
+        With all errors, each with its file, section and key.
     """
-    values, faults = read_sections(file, text, SECTIONS)
-    if faults:
-        raise CheckError(faults)
+    values, errors = read_sections(file, text, SECTIONS)
+    if errors:
+        raise CheckError(errors)
     return ServingSettings(values)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/software_records.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/software_records.py
@@ -1,4 +1,4 @@
-"""Records in the store which software versions of a service serve side by side."""
+"""Record in the store which software versions of a service serve side by side."""
 
 import anyio
 
@@ -7,21 +7,21 @@
 from knapweedbridge_daemon.serving.own_records import pack_software
 from knapweedbridge_daemon.store import Transaction
 
-LOOK_S = 1.0
-"""Pause between looks, where nothing changes."""
+CHECK_INTERVAL_S = 1.0
+"""Interval between checks while nothing changes."""
 
-STEP_S = 0.3
-"""How long each host waits for the one before it to write: a write takes some
-milliseconds, and reaches all hosts within a few tenths of a second."""
+WRITE_DELAY_STEP_S = 0.3
+"""Delay per place in the order of hosts, in which an earlier host may write: a write
+takes some milliseconds, and reaches all hosts within a few tenths of a second."""
 
 
 class SoftwareRecords:
-    """Has the store hold the versions, for hosts that start after one is gone.
+    """Task that records the versions for hosts that start after a version is gone.
 
     Parameters
     ----------
     hub : Hub
-        The endpoints, and the store.
+        Shared state, and the store.
     """
 
     __slots__ = ("_hub", "_missing_since_s")
@@ -31,13 +31,13 @@
         self._missing_since_s: dict[str, float] = {}
 
     async def run(self) -> None:
-        """Write what is missing until cancelled."""
+        """Write missing records until cancelled."""
         while True:
-            await self._hub.cluster_changed.wait(LOOK_S)
+            await self._hub.cluster_changed.wait(CHECK_INTERVAL_S)
             if self._hub.synced and self._hub.lease_revision:
-                await self._look()
+                await self._check_services()
 
-    async def _look(self) -> None:
+    async def _check_services(self) -> None:
         software = self._hub.cluster.fleet.software
         for service in software.services():
             now_s = anyio.current_time()
@@ -46,19 +46,19 @@
                 self._missing_since_s.pop(service, None)
                 continue
             since_s = self._missing_since_s.setdefault(service, now_s)
-            turn_s = self._turn_s()
-            if turn_s is not None and now_s - since_s >= turn_s:
+            delay_s = self._write_delay_s()
+            if delay_s is not None and now_s - since_s >= delay_s:
                 await self._write(service, versions)
 
-    def _turn_s(self) -> float | None:
-        """Return how long this host leaves a write to others; None: it writes none."""
+    def _write_delay_s(self) -> float | None:
+        """Return the delay before this host writes, in seconds; None: it never does."""
         ranks = self._hub.cluster.ranks
         identity = self._hub.identity
         names = ranks.get(identity.data_centre, [])
         if identity.name not in names:
             return None
         place = names.index(identity.name) * len(ranks)
-        return STEP_S * (place + sorted(ranks).index(identity.data_centre))
+        return WRITE_DELAY_STEP_S * (place + sorted(ranks).index(identity.data_centre))
 
     async def _write(self, service: str, versions: set[str]) -> None:
         key = self._hub.dialects.daemon_keys.software(service)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/store_calls.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/store_calls.py
@@ -1,4 +1,4 @@
-"""How the calls go by which a daemon follows the store, and when the next is made."""
+"""Track the calls by which a daemon follows the store, and pace the retries."""
 
 import random
 
@@ -8,18 +8,20 @@
 from knapweedbridge_daemon.serving.hub import Hub
 
 FIRST_PAUSE_S = 0.1
+"""Lower bound of the pause after a call that failed."""
+
 CALL_EVERY_S = 0.6
-"""Pause after a first call that fails, and the longest from one begin to the next: the
-last failed call tells when an outage was not over yet."""
+"""Longest time from the start of a failed call to the start of the next. The last
+failed call shows until when an outage has lasted."""
 
 
 class StoreCalls:
-    """The calls of one task, which makes one at a time.
+    """Record of the store calls of one task, which makes one at a time.
 
     Parameters
     ----------
     hub : Hub
-        Is told how they go.
+        Shared state in which results are recorded.
     """
 
     def __init__(self, hub: Hub) -> None:
@@ -28,7 +30,7 @@
         self._began_s = float("-inf")
 
     def begin(self) -> float:
-        """Note that a call begins; return the moment by the hub's steady clock."""
+        """Record the start of a call; return the time of the hub's steady clock."""
         self._began_s = anyio.current_time()
         return self._hub.steady_s()
 
@@ -37,16 +39,16 @@
         """Whether the last call may still be opening its connection."""
         return anyio.current_time() - self._began_s <= CALL_EVERY_S
 
-    def answered(self, began_s: float) -> None:
-        """Note the answer of a call that began at a moment of the steady clock."""
+    def record_answer(self, began_s: float) -> None:
+        """Record the response to a call that began at a time of the steady clock."""
         self._hub.store_age.confirm(began_s)
         self._hub.outage.answered(anyio.current_time())
         if self._failures:
             self._hub.log.info("store.regained", failures=self._failures)
         self._failures = 0
 
-    def failed(self, error: StoreError) -> float:
-        """Note a failure; return the pause before the next call, in seconds."""
+    def record_failure(self, error: StoreError) -> float:
+        """Record a failure; return the pause before the next call, in seconds."""
         if not self._failures:
             self._hub.log.error("store.lost", error=str(error))
         self._failures += 1
@@ -55,5 +57,5 @@
         took_s = anyio.current_time() - self._began_s
         longest_s = max(FIRST_PAUSE_S, CALL_EVERY_S - took_s)
         pause_s = min(longest_s, FIRST_PAUSE_S * 2**self._failures)
-        # Spread: at the store's return all daemons would else call at once.
+        # Jitter keeps all daemons from calling at once when the store returns.
         return pause_s * random.uniform(0.5, 1.0)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/store_marks.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/store_marks.py
@@ -1,21 +1,21 @@
-"""Marks moments of this daemon's clock at its relay, which show how old its news is."""
+"""Send timestamps to relays, which return them to prove how fresh updates are."""
 
 import anyio
 
 from knapweedbridge_core.serving.messages import StoreMark
 from knapweedbridge_daemon.serving.hub import Hub, Send
 
-MARK_S = 0.4
-"""Pause between marks: what it adds to the age that a daemon can prove."""
+MARK_INTERVAL_S = 0.4
+"""Interval between marks, which adds to the age that a daemon can prove."""
 
 
 class StoreMarks:
-    """The task that sets marks, which idles where this daemon hears no relay.
+    """Task that sends marks; idle if this daemon subscribes to no relay.
 
     Parameters
     ----------
     hub : Hub
-        Beliefs.
+        Shared state.
     send : callable
         Sends a message to a daemon.
     """
@@ -25,13 +25,13 @@
         self._send = send
 
     async def run(self) -> None:
-        """Set marks until cancelled."""
+        """Send marks until cancelled."""
         while True:
             await self.mark()
-            await anyio.sleep(MARK_S)
+            await anyio.sleep(MARK_INTERVAL_S)
 
     async def mark(self) -> None:
-        """Mark this moment at the relays that are to prove how old their news is."""
+        """Send the current time to the relays that must prove their freshness."""
         now_s = self._hub.steady_s()
         for relay in self._relays(now_s):
             await self._send(relay, StoreMark(now_s))
@@ -39,10 +39,10 @@
     def _relays(self, now_s: float) -> list[str]:
         identity, cluster = self._hub.identity, self._hub.cluster
         age = self._hub.store_age
-        heard = cluster.relays_for(identity.name, identity.data_centre)
-        if not heard and age.is_cut_off(now_s):
-            # A relay that the store turns away, or a daemon that believes itself not to
-            # be listed. Hearing nobody, they served their callers, and those of hearers
-            # that were turned away as well, by an old configuration.
+        subscribed = cluster.relays_for(identity.name, identity.data_centre)
+        if not subscribed and age.is_cut_off(now_s):
+            # A relay that the store rejects, or a daemon that does not see itself
+            # listed. Without a relay they would serve their callers by an old
+            # configuration, as would those of their subscribers that the store rejects.
             return cluster.fallback_relays(identity.name, identity.data_centre)
-        return age.relays_to_mark(heard, now_s)
+        return age.relays_to_mark(subscribed, now_s)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/store_update_codec.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/store_update_codec.py
@@ -1,10 +1,9 @@
-"""What a relay hands on to those that hear it, packed.
+"""Compressed encoding of the updates that a relay sends to its subscribers.
 
-The load that this answers: of 79 hosts some have links of 5 Mbit/s. One that watched
-for its data centre handed 23 kB a second of entries to each of 26 others, which was
-all that its link carries: its own calls to the store got no answer, its lease lapsed,
-and its data centre heard of a configuration after 5 s. Entries of engines are alike,
-and packed together they take a fifth.
+Some hosts have links of 5 Mbit/s. A relay that sends 23 kB/s of entries to each of 26
+subscribers saturates such a link: its own calls to the store time out, its lease
+expires, and its data centre learns of a configuration only after 5 s. Entries of
+engines are alike, and compressed together they take a fifth of their size.
 """
 
 import zlib
@@ -20,30 +19,30 @@
 )
 from knapweedbridge_daemon.store import StoreItem
 
-LEVEL = 1
-"""Fastest compression: 7 kB in 0.1 ms, once for all that are told."""
+COMPRESSION_LEVEL = 1
+"""Fastest compression: 7 kB take 0.1 ms, once for all subscribers."""
 
 
 def pack_items(items: list[StoreItem]) -> bytes:
-    """Encode what changed."""
+    """Encode changed items of the store."""
     rows = [[item.key, item.value, item.revision] for item in items]
-    return zlib.compress(msgpack.packb(rows), LEVEL)
+    return zlib.compress(msgpack.packb(rows), COMPRESSION_LEVEL)
 
 
 def unpack_items(message: StoreUpdate) -> list[StoreItem]:
-    """Decode what changed."""
+    """Decode changed items of the store."""
     rows = msgpack.unpackb(zlib.decompress(message.items))
     return [StoreItem(key, value, revision) for key, value, revision in rows]
 
 
 def pack_engines(rows: Iterable[EngineSnapshot | EngineDelta]) -> bytes:
-    """Encode what owners told of their engines."""
+    """Encode snapshots and deltas of engines."""
     packed = b"".join(map(encode, rows))
-    return zlib.compress(packed, LEVEL) if packed else b""
+    return zlib.compress(packed, COMPRESSION_LEVEL) if packed else b""
 
 
 def unpack_engines(message: StoreUpdate) -> list[EngineSnapshot | EngineDelta]:
-    """Decode what owners told of their engines."""
+    """Decode snapshots and deltas of engines."""
     if not message.engines:
         return []
     reader = unpacker()
--- a/packages/daemon/src/knapweedbridge_daemon/serving/wake.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/wake.py
@@ -1,31 +1,31 @@
-"""Wakes one task, at once or at a time that may still be brought forward."""
+"""Wake a task, at once or at a deadline that may be brought forward."""
 
 import anyio
 
 
 class Wake:
-    """What one task waits on between two passes of its work."""
+    """Event with a deadline that a task waits for between two passes of its work."""
 
     def __init__(self) -> None:
         self._event = anyio.Event()
-        self._rest = anyio.CancelScope()
+        self._wait_scope = anyio.CancelScope()
 
     def clear(self) -> None:
-        """Begin a pass: what is set from here on is seen after it."""
+        """Begin a pass; a later `set` starts the pass after it."""
         self._event = anyio.Event()
 
     def set(self) -> None:
-        """Have the next pass begin at once."""
+        """Start the next pass at once."""
         self._event.set()
 
     def set_by(self, at_s: float) -> None:
-        """Have a task that waits begin its next pass at a time at the latest."""
-        if at_s < self._rest.deadline:
-            self._rest.deadline = at_s
+        """Bring the deadline of the waiting task forward to a time, if it is later."""
+        if at_s < self._wait_scope.deadline:
+            self._wait_scope.deadline = at_s
 
     async def wait_until(self, at_s: float) -> None:
-        """Wait for the next pass."""
+        """Wait until the event is set, or for the deadline."""
         if self._event.is_set():
             return
-        with anyio.CancelScope(deadline=at_s) as self._rest:
+        with anyio.CancelScope(deadline=at_s) as self._wait_scope:
             await self._event.wait()
