--- a/packages/core/src/knapweedbridge_core/demand_side.py
+++ b/packages/core/src/knapweedbridge_core/demand_side.py
@@ -1,4 +1,4 @@
-"""What this daemon's callers ask for, told to the load order."""
+"""Reports the demand of this daemon's callers to the load order coordinator."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -12,39 +12,41 @@
 from knapweedbridge_core.request_side import RequestSide
 from knapweedbridge_core.requests import LiveRequest
 
-WANT_AGAIN_S = 1.0
+REQUEST_INTERVAL_S = 1.0
 USE_REPORT_INTERVAL_S = 1.0
-MOST_USES_TOLD = 64
-MOST_COUNTS_TOLD = 256
-SHORTEST_RETRY_AFTER_S = 1.0
+MAX_REPORTED_USES = 64
+MAX_REPORTED_COUNTS = 256
+MIN_RETRY_AFTER_S = 1.0
 
 
 @dataclass(slots=True)
-class _Asked:
+class _LoadRequest:
+    """The last request for a load: when it was sent and for how many waiters."""
+
     at_s: float
     waiters: int
 
 
 class DemandSide(Side):
-    """Tells the load order what is used and what is waited for.
+    """Reports adapter uses and waiting requests to the load order coordinator.
 
     Parameters
     ----------
     context : Context
-        What it shares with the other sides.
+        State shared with the other sides.
     requests : RequestSide
-        Owns the requests that wait.
+        Holds the waiting requests.
     """
 
     def __init__(self, context: Context, requests: RequestSide) -> None:
         super().__init__(context)
         self._requests = requests
-        self._asked: dict[AdapterVersion, _Asked] = {}
-        self._since_s: dict[str, float] = {}
+        self._requested: dict[AdapterVersion, _LoadRequest] = {}
+        self._waiting_since_s: dict[str, float] = {}
         self._uses: dict[AdapterVersion, int] = {}
-        self._own = ChangeAware()
-        self._orderer: str | None = None
-        self._told_s = float("-inf")
+        self._forecast = ChangeAware()
+        self._coordinator: str | None = None
+        self._reported_s = float("-inf")
 
     def handlers(self) -> dict[type, Handler]:
         """See `Side.handlers`."""
@@ -62,25 +64,31 @@
 
     def _adapter_missed(self, event: events.AdapterMissed) -> None:
         now_s = self._context.now_s
-        self._since_s.setdefault(event.request.request_id, now_s)
+        self._waiting_since_s.setdefault(event.request.request_id, now_s)
         model = event.request.model
-        if model is not None and model not in self._asked:
-            self._asked[model] = _Asked(now_s, 1)
+        if model is not None and model not in self._requested:
+            self._requested[model] = _LoadRequest(now_s, 1)
             left_s = event.request.deadline_s - now_s
-            self._want(messages.LoadWanted(model, 1, 0.0, left_s, left_s))
+            self._request_load(messages.LoadWanted(model, 1, 0.0, left_s, left_s))
 
     def _tick(self, event: events.Tick) -> None:
-        self._follow_orderer()
+        self._update_coordinator()
         waiting = self._waiting()
-        for model, lives in waiting.items():
-            if self._is_due(model, len(lives)):
-                self._asked[model] = _Asked(self._context.now_s, len(lives))
-                self._want(self._wanted(model, lives))
-        self._asked = {m: asked for m, asked in self._asked.items() if m in waiting}
+        for model, requests in waiting.items():
+            if self._is_due(model, len(requests)):
+                self._requested[model] = _LoadRequest(
+                    self._context.now_s, len(requests)
+                )
+                self._request_load(self._build_request(model, requests))
+        self._requested = {
+            m: requested for m, requested in self._requested.items() if m in waiting
+        }
         live = self._requests.live
-        self._since_s = {key: at for key, at in self._since_s.items() if key in live}
-        if self._context.now_s - self._told_s >= USE_REPORT_INTERVAL_S:
-            self._tell_uses()
+        self._waiting_since_s = {
+            key: at for key, at in self._waiting_since_s.items() if key in live
+        }
+        if self._context.now_s - self._reported_s >= USE_REPORT_INTERVAL_S:
+            self._report_uses()
 
     def _waiting(self) -> dict[AdapterVersion, list[LiveRequest]]:
         waiting: dict[AdapterVersion, list[LiveRequest]] = {}
@@ -93,55 +101,58 @@
     def _is_due(self, model: AdapterVersion, waiters: int) -> bool:
         if self._context.holders(model):
             return False
-        asked = self._asked.get(model)
-        if asked is None or asked.waiters != waiters:
+        requested = self._requested.get(model)
+        if requested is None or requested.waiters != waiters:
             return True
-        return self._context.now_s - asked.at_s >= WANT_AGAIN_S
+        return self._context.now_s - requested.at_s >= REQUEST_INTERVAL_S
 
-    def _wanted(
-        self, model: AdapterVersion, lives: Iterable[LiveRequest]
+    def _build_request(
+        self, model: AdapterVersion, requests: Iterable[LiveRequest]
     ) -> messages.LoadWanted:
         now_s = self._context.now_s
-        since = [self._since_s.get(live.request.request_id, now_s) for live in lives]
-        left = [live.request.deadline_s - now_s for live in lives]
+        since = [
+            self._waiting_since_s.get(live.request.request_id, now_s)
+            for live in requests
+        ]
+        left = [live.request.deadline_s - now_s for live in requests]
         return messages.LoadWanted(
             model, len(since), now_s - min(since), min(left), max(left)
         )
 
-    def _want(self, wanted: messages.LoadWanted) -> None:
+    def _request_load(self, wanted: messages.LoadWanted) -> None:
         coordinator = load_order_coordinator(self._context)
         if coordinator is None:
             return
         self._context.record("load.wanted", model=str(wanted.model), to=coordinator)
         self._context.send(coordinator, wanted)
 
-    def _follow_orderer(self) -> None:
+    def _update_coordinator(self) -> None:
         coordinator = load_order_coordinator(self._context)
-        if coordinator is None or coordinator == self._orderer:
+        if coordinator is None or coordinator == self._coordinator:
             return
-        # The new load order starts with no counts: it learns each daemon's
-        # largest, and the waiters at once.
-        self._orderer = coordinator
-        self._asked.clear()
-        counts = self._own.summary(self._context.now_s, MOST_COUNTS_TOLD)
+        # A new coordinator starts without counts: each daemon sends it its largest
+        # counts and requests the loads it waits for again.
+        self._coordinator = coordinator
+        self._requested.clear()
+        counts = self._forecast.summary(self._context.now_s, MAX_REPORTED_COUNTS)
         if counts:
-            age_s = self._own.age_s(self._context.now_s)
-            told = messages.CountsReport([list(pair) for pair in counts], age_s)
-            self._context.send(coordinator, told)
+            age_s = self._forecast.age_s(self._context.now_s)
+            report = messages.CountsReport([list(pair) for pair in counts], age_s)
+            self._context.send(coordinator, report)
 
-    def _tell_uses(self) -> None:
-        self._told_s = self._context.now_s
-        if not self._uses or self._orderer is None:
+    def _report_uses(self) -> None:
+        self._reported_s = self._context.now_s
+        if not self._uses or self._coordinator is None:
             return
         for model, count in self._uses.items():
-            self._own.used(model, count, self._context.now_s)
+            self._forecast.used(model, count, self._context.now_s)
         ranked = sorted(self._uses.items(), key=lambda use: (-use[1], use[0]))
-        uses = [list(use) for use in ranked[:MOST_USES_TOLD]]
+        uses = [list(use) for use in ranked[:MAX_REPORTED_USES]]
         self._uses.clear()
-        self._context.send(self._orderer, messages.UsageReport(uses))
+        self._context.send(self._coordinator, messages.UsageReport(uses))
 
     def _load_refused(self, message: messages.LoadRefused) -> None:
-        retry_after_s = max(SHORTEST_RETRY_AFTER_S, message.retry_after_s)
+        retry_after_s = max(MIN_RETRY_AFTER_S, message.retry_after_s)
         outcome = NotRun(Reason(message.reason), retry_after_s)
         for live in self._waiting().get(message.model, []):
             left_s = live.request.deadline_s - self._context.now_s
--- a/packages/core/src/knapweedbridge_core/ledger.py
+++ b/packages/core/src/knapweedbridge_core/ledger.py
@@ -1,4 +1,4 @@
-"""The slots of one owned endpoint and the grants that pin them."""
+"""Adapter slots of one owned endpoint and the grants that pin them."""
 
 from dataclasses import dataclass, field
 from enum import Enum
@@ -7,11 +7,15 @@
 from knapweedbridge_core.names import AdapterVersion
 from knapweedbridge_core.times import CLOCK_MARGIN_S, ORDER_TRANSIT_S
 
-FORGET_S = 60.0
+REMOVAL_MEMORY_S = 60.0
+"""How long a removal is remembered, so that an older report does not undo it."""
 
 
 class SlotState(Enum):
-    """What a slot is doing."""
+    """State of an adapter slot.
+
+    In the unknown states a load or an eviction was ordered whose effect is unknown.
+    """
 
     LOADING = "loading"
     LOADED = "loaded"
@@ -25,15 +29,15 @@
 
 @dataclass(slots=True, frozen=True)
 class Grant:
-    """Who holds a grant, and since when."""
+    """Holder of a grant and the time at which it was recorded."""
 
     holder: str
-    given_s: float
+    granted_s: float
 
 
 @dataclass(slots=True, frozen=True)
 class HeldGrant:
-    """One grant, as it is handed over."""
+    """One grant, as it is transferred to a new owner."""
 
     model: AdapterVersion
     attempt_id: str
@@ -47,39 +51,39 @@
     Parameters
     ----------
     since_s : float
-        When its state was known last.
-    orphaned_s : float
-        Until when a holder that nobody can ask may have started a request; only a
-        report taken later frees the slot. ``-inf``: no such holder.
+        Time at which its state was last known.
+    orphaned_until_s : float
+        Time until which an unreachable holder may have started a request; only a
+        report taken later frees the slot. ``-inf`` if there is no such holder.
     """
 
     state: SlotState
     since_s: float = -inf
-    orphaned_s: float = -inf
+    orphaned_until_s: float = -inf
     grants: dict[str, Grant] = field(default_factory=dict)
 
 
 class Ledger:
-    """Counts grants, so that an adapter that serves is never evicted.
+    """Tracks slots and grants, so that an adapter in use is never evicted.
 
     Parameters
     ----------
     slots : int
-        Adapter slots of the endpoint.
+        Number of adapter slots of the endpoint.
     suspect_until_s : float
-        Until when a holder unknown to this owner may start requests; slots found by
-        a report are orphaned until then.
+        Time until which a holder unknown to this owner may start requests; slots
+        first seen in a report are orphaned until then.
     """
 
     def __init__(self, slots: int, suspect_until_s: float = -inf) -> None:
-        self._limit = slots
+        self._slot_count = slots
         self._suspect_until_s = suspect_until_s
         self._slots: dict[AdapterVersion, Slot] = {}
-        self._gone_s: dict[AdapterVersion, float] = {}
+        self._removed_s: dict[AdapterVersion, float] = {}
 
     @property
     def loaded(self) -> list[AdapterVersion]:
-        """Adapter versions that may be granted."""
+        """Adapter versions for which grants may be given."""
         return [
             model
             for model, slot in self._slots.items()
@@ -88,27 +92,27 @@
 
     @property
     def running(self) -> int:
-        """Grants outstanding."""
+        """Number of outstanding grants."""
         return sum(len(slot.grants) for slot in self._slots.values())
 
     @property
     def is_quiet(self) -> bool:
-        """Tell whether no order is under way and no holder is in doubt."""
+        """Whether all slots are loaded and none is orphaned."""
         return all(
-            slot.state is SlotState.LOADED and slot.orphaned_s == -inf
+            slot.state is SlotState.LOADED and slot.orphaned_until_s == -inf
             for slot in self._slots.values()
         )
 
     @property
     def required_report_s(self) -> float:
-        """Time after which a report must be taken to settle what is in doubt."""
-        wanted_s = -inf
+        """Time after which a report resolves all orphaned and unknown slots."""
+        required_s = -inf
         for slot in self._slots.values():
-            if slot.orphaned_s > -inf:
-                wanted_s = max(wanted_s, slot.orphaned_s)
+            if slot.orphaned_until_s > -inf:
+                required_s = max(required_s, slot.orphaned_until_s)
             if slot.state in UNKNOWN_STATES:
-                wanted_s = max(wanted_s, slot.since_s + ORDER_TRANSIT_S)
-        return wanted_s
+                required_s = max(required_s, slot.since_s + ORDER_TRANSIT_S)
+        return required_s
 
     def apply_report(
         self,
@@ -117,37 +121,37 @@
         taken_s: float,
         now_s: float,
     ) -> None:
-        """Take a report.
+        """Update the slots from a report of the endpoint.
 
         Parameters
         ----------
         loaded : tuple of AdapterVersion
-            What the slots hold.
+            Adapter versions that the slots hold.
         running : dict of AdapterVersion to int
-            Requests that run.
+            Number of running requests of each adapter version.
         taken_s : float
-            When it was asked for; it says nothing of what happened later.
+            Time at which the report was requested; later changes are not in it.
         now_s : float
-            The daemon's clock.
+            The daemon's clock, in seconds.
         """
         for model in loaded:
-            if model not in self._slots and self._gone_s.get(model, -inf) < taken_s:
+            if model not in self._slots and self._removed_s.get(model, -inf) < taken_s:
                 slot = Slot(SlotState.LOADED, taken_s, self._suspect_until_s)
                 self._slots[model] = slot
         for model, slot in list(self._slots.items()):
             if slot.since_s <= taken_s:
-                self._settle(model, slot, model in loaded, taken_s, now_s)
+                self._resolve(model, slot, model in loaded, taken_s, now_s)
         for model, slot in self._slots.items():
             idle = running.get(model, 0) == 0
-            if idle and taken_s > slot.orphaned_s:
-                slot.orphaned_s = -inf
-        self._gone_s = {
+            if idle and taken_s > slot.orphaned_until_s:
+                slot.orphaned_until_s = -inf
+        self._removed_s = {
             model: at_s
-            for model, at_s in self._gone_s.items()
-            if now_s - at_s < FORGET_S
+            for model, at_s in self._removed_s.items()
+            if now_s - at_s < REMOVAL_MEMORY_S
         }
 
-    def _settle(
+    def _resolve(
         self,
         model: AdapterVersion,
         slot: Slot,
@@ -155,26 +159,26 @@
         taken_s: float,
         now_s: float,
     ) -> None:
-        landed = taken_s >= slot.since_s + ORDER_TRANSIT_S
+        transit_over = taken_s >= slot.since_s + ORDER_TRANSIT_S
         if slot.state is SlotState.LOADED and not present:
             self._remove(model, now_s)
         elif slot.state is SlotState.UNKNOWN_LOAD and present:
             self._slots[model] = Slot(SlotState.LOADED, now_s)
         elif slot.state is SlotState.UNKNOWN_EVICTION and not present:
             self._remove(model, now_s)
-        elif slot.state in UNKNOWN_STATES and landed and present:
+        elif slot.state in UNKNOWN_STATES and transit_over and present:
             slot.state, slot.since_s = SlotState.LOADED, now_s
-        elif slot.state in UNKNOWN_STATES and landed:
+        elif slot.state in UNKNOWN_STATES and transit_over:
             self._remove(model, now_s)
 
     def _remove(self, model: AdapterVersion, now_s: float) -> None:
         self._slots.pop(model, None)
-        self._gone_s[model] = now_s
+        self._removed_s[model] = now_s
 
     def grant(
         self, model: AdapterVersion, attempt_id: str, holder: str, now_s: float = 0.0
     ) -> bool:
-        """Pin a slot for an attempt; False where the adapter is not loaded."""
+        """Pin a slot for an attempt; return False if the adapter is not loaded."""
         slot = self._slots.get(model)
         if slot is None or slot.state is not SlotState.LOADED:
             return False
@@ -184,37 +188,37 @@
     def held(
         self, model: AdapterVersion, attempt_id: str, holder: str, now_s: float
     ) -> None:
-        """Take a grant that an earlier owner gave, or may have given."""
+        """Record a grant that an earlier owner gave or may have given."""
         slot = self._slots.setdefault(
             model, Slot(SlotState.LOADED, -inf, self._suspect_until_s)
         )
         slot.grants[attempt_id] = Grant(holder, now_s)
 
     def release(self, model: AdapterVersion, attempt_id: str) -> None:
-        """Take back a grant."""
+        """Remove a grant, if it exists."""
         slot = self._slots.get(model)
         if slot is not None:
             slot.grants.pop(attempt_id, None)
 
     def keep_only(self, holder: str, attempts: set[str], asked_s: float) -> None:
-        """Drop a holder's grants, given before it was asked, that it does not keep."""
+        """Remove a holder's grants older than ``asked_s`` that it no longer holds."""
         for slot in self._slots.values():
             for attempt_id, grant in list(slot.grants.items()):
-                old = grant.holder == holder and grant.given_s < asked_s
+                old = grant.holder == holder and grant.granted_s < asked_s
                 if old and attempt_id not in attempts:
                     del slot.grants[attempt_id]
 
-    def holders(self, given_before_s: float) -> set[str]:
-        """Name the holders of grants given before a time."""
+    def holders(self, granted_before_s: float) -> set[str]:
+        """Return the holders of grants given before a time."""
         return {
             grant.holder
             for slot in self._slots.values()
             for grant in slot.grants.values()
-            if grant.given_s < given_before_s
+            if grant.granted_s < granted_before_s
         }
 
     def orphan(self, holder: str, now_s: float) -> None:
-        """Turn a dead holder's grants into doubt that only a report settles."""
+        """Remove a dead holder's grants and mark their slots as orphaned."""
         for slot in self._slots.values():
             kept = {
                 attempt_id: grant
@@ -222,7 +226,9 @@
                 if grant.holder != holder
             }
             if len(kept) < len(slot.grants):
-                slot.orphaned_s = max(slot.orphaned_s, now_s + CLOCK_MARGIN_S)
+                slot.orphaned_until_s = max(
+                    slot.orphaned_until_s, now_s + CLOCK_MARGIN_S
+                )
             slot.grants = kept
 
     def grants(self) -> list[HeldGrant]:
@@ -234,33 +240,33 @@
         ]
 
     def restore_loaded(self, loaded: list[AdapterVersion], now_s: float) -> None:
-        """Take the content of the slots from an earlier owner."""
+        """Restore the loaded slots that an earlier owner transferred."""
         for model in loaded:
             self._slots[model] = Slot(SlotState.LOADED, now_s)
 
     def resize(self, slots: int) -> None:
-        """Take the number of slots of a new configuration."""
-        self._limit = slots
+        """Set the number of slots from a new configuration."""
+        self._slot_count = slots
 
     def has_free_slot(self) -> bool:
-        """Tell whether a load needs no eviction."""
-        return len(self._slots) < self._limit
+        """Return whether a load needs no eviction."""
+        return len(self._slots) < self._slot_count
 
     def may_evict(self, model: AdapterVersion) -> bool:
-        """Tell whether nothing pins the adapter's slot."""
+        """Return whether the adapter is loaded and nothing pins its slot."""
         slot = self._slots.get(model)
         if slot is None or slot.state is not SlotState.LOADED:
             return False
-        return not slot.grants and slot.orphaned_s == -inf
+        return not slot.grants and slot.orphaned_until_s == -inf
 
     def begin_eviction(self, model: AdapterVersion) -> None:
-        """Give no more grants on a slot about to be emptied."""
+        """Stop giving grants on a slot that is about to be evicted."""
         self._slots[model].state = SlotState.EVICTING
 
     def end_eviction(
         self, model: AdapterVersion, evicted: bool, now_s: float = 0.0
     ) -> None:
-        """Free the slot, or offer it again."""
+        """Free the slot, or make it available again if the eviction failed."""
         if evicted:
             self._remove(model, now_s)
         elif model in self._slots:
@@ -268,23 +274,25 @@
             slot.state, slot.since_s = SlotState.LOADED, now_s
 
     def begin_load(self, model: AdapterVersion) -> bool:
-        """Take a free slot; False where there is none or it is held already."""
+        """Reserve a free slot; return False if none is free or the adapter has one."""
         if model in self._slots or not self.has_free_slot():
             return False
         self._slots[model] = Slot(SlotState.LOADING)
         return True
 
     def end_load(self, model: AdapterVersion, loaded: bool, now_s: float = 0.0) -> None:
-        """Offer the slot, or free it."""
+        """Make the slot available, or free it if the load failed."""
         if loaded:
             self._slots[model] = Slot(SlotState.LOADED, now_s)
         else:
             self._remove(model, now_s)
 
-    def doubt(self, model: AdapterVersion, kind: str, now_s: float) -> None:
-        """Note that an order's effect is unknown; a later report settles it."""
+    def mark_unknown(self, model: AdapterVersion, kind: str, now_s: float) -> None:
+        """Record that the effect of an order is unknown until a later report."""
         slot = self._slots.get(model)
         if slot is not None:
-            load = kind == "load"
-            slot.state = SlotState.UNKNOWN_LOAD if load else SlotState.UNKNOWN_EVICTION
+            is_load = kind == "load"
+            slot.state = (
+                SlotState.UNKNOWN_LOAD if is_load else SlotState.UNKNOWN_EVICTION
+            )
             slot.since_s = now_s
--- a/packages/core/src/knapweedbridge_core/order_side.py
+++ b/packages/core/src/knapweedbridge_core/order_side.py
@@ -1,4 +1,8 @@
-"""The owner's orders: loads into free slots, evictions that witnesses know of."""
+"""Orders of an endpoint's owner: loads into free slots and evictions.
+
+Unless the endpoint checks fencing numbers, witnesses acknowledge an eviction before
+it is ordered, so that a later owner learns of it.
+"""
 
 from math import inf
 
@@ -10,15 +14,15 @@
 from knapweedbridge_core.tenure import Tenure
 from knapweedbridge_core.times import WITNESS_TIMEOUT_S
 
-WITNESSES = 2
+WITNESS_COUNT = 2
 
 
 class OrderSide(OwnedEndpointsSide):
-    """Carries out placed loads on the owned endpoints."""
+    """Orders loads and evictions on the owned endpoints."""
 
     def __init__(self, context: Context, owned: OwnedEndpoints) -> None:
         super().__init__(context, owned)
-        self._placed: dict[tuple[str, AdapterVersion], messages.LoadPlaced] = {}
+        self._placements: dict[tuple[str, AdapterVersion], messages.LoadPlaced] = {}
 
     def handlers(self) -> dict[type, Handler]:
         """See `Side.handlers`."""
@@ -27,28 +31,28 @@
             events.OrderEnded: self._order_ended,
             messages.LoadPlaced: self._load_placed,
             messages.SlotWanted: self._slot_wanted,
-            messages.EvictionIntentAcknowledged: self._eviction_noted,
+            messages.EvictionIntentAcknowledged: self._eviction_acknowledged,
         }
 
     def _tick(self, event: events.Tick) -> None:
-        for endpoint, model in list(self._placed):
+        for endpoint, model in list(self._placements):
             if endpoint not in self._owned.tenures:
-                self._load_over(endpoint, model, False)
+                self._send_load_ended(endpoint, model, False)
         for tenure in list(self._owned.tenures.values()):
             self._cancel_unwitnessed(tenure)
-            self._evict_condemned(tenure)
+            self._evict_quarantined(tenure)
 
     def _load_placed(self, message: messages.LoadPlaced) -> None:
         endpoint, model = message.endpoint, message.model
-        self._placed[endpoint, model] = message
+        self._placements[endpoint, model] = message
         tenure = self._owned.tenures.get(endpoint)
         if tenure is None or not self._owned.may_load(tenure, model):
-            self._load_over(endpoint, model, False)
+            self._send_load_ended(endpoint, model, False)
         elif model in tenure.ledger.loaded:
-            self._load_over(endpoint, model, True)
+            self._send_load_ended(endpoint, model, True)
         elif message.victim is not None and not tenure.ledger.has_free_slot():
             if not self._evict(tenure, message.victim):
-                self._load_over(endpoint, model, False)
+                self._send_load_ended(endpoint, model, False)
         else:
             self._begin_load(tenure, model)
 
@@ -78,9 +82,11 @@
     def _witnesses(self, endpoint: str) -> list[str]:
         peers = [peer.name for peer in self._context.members.peers()]
         ranked = sorted(peers, key=lambda name: rendezvous.score(endpoint, name))
-        return ranked[-WITNESSES:]
+        return ranked[-WITNESS_COUNT:]
 
-    def _eviction_noted(self, message: messages.EvictionIntentAcknowledged) -> None:
+    def _eviction_acknowledged(
+        self, message: messages.EvictionIntentAcknowledged
+    ) -> None:
         tenure = self._owned.tenures.get(message.endpoint)
         own = self._context.sender == self._context.host
         if tenure is None or own or tenure.number != message.number:
@@ -100,18 +106,18 @@
 
     def _cancel(self, tenure: Tenure, victim: AdapterVersion) -> None:
         tenure.ledger.end_eviction(victim, False, self._context.now_s)
-        self._eviction_over(tenure, victim)
-        for placed in self._placed_for(tenure.endpoint, victim):
-            self._load_over(tenure.endpoint, placed.model, False)
+        self._send_eviction_finished(tenure, victim)
+        for placed in self._placements_with_victim(tenure.endpoint, victim):
+            self._send_load_ended(tenure.endpoint, placed.model, False)
 
-    def _eviction_over(self, tenure: Tenure, victim: AdapterVersion) -> None:
+    def _send_eviction_finished(self, tenure: Tenure, victim: AdapterVersion) -> None:
         if tenure.checks_fencing:
             return
-        over = messages.EvictionFinished(tenure.endpoint, victim, tenure.number)
+        finished = messages.EvictionFinished(tenure.endpoint, victim, tenure.number)
         for host in (self._context.host, *self._witnesses(tenure.endpoint)):
-            self._context.send(host, over)
+            self._context.send(host, finished)
 
-    def _evict_condemned(self, tenure: Tenure) -> None:
+    def _evict_quarantined(self, tenure: Tenure) -> None:
         now_s = self._context.now_s
         quarantined = tenure.takeover.quarantined
         for model, until_s in list(quarantined.items()):
@@ -124,15 +130,15 @@
         if tenure.ledger.begin_load(model):
             self._order(tenure, "load", model)
         else:
-            self._load_over(tenure.endpoint, model, False)
+            self._send_load_ended(tenure.endpoint, model, False)
 
     def _order(self, tenure: Tenure, kind: str, model: AdapterVersion) -> None:
         entry = self._context.configuration.endpoints.get(tenure.endpoint)
         if entry is None:
             return
         weights = self._context.configuration.versions.get(model, str(model))
-        timed = kind == "evict" and not tenure.checks_fencing
-        not_after_s = self._owned.lease.valid_until_s if timed else inf
+        expires = kind == "evict" and not tenure.checks_fencing
+        not_after_s = self._owned.lease.valid_until_s if expires else inf
         self._context.emit(
             OrderEndpoint(
                 entry.name,
@@ -155,54 +161,56 @@
         )
         tenure = self._owned.tenures.get(event.endpoint)
         if tenure is None:
-            self._load_over(event.endpoint, event.model, False)
+            self._send_load_ended(event.endpoint, event.model, False)
         elif not event.known:
-            self._doubt(tenure, event)
+            self._effect_unknown(tenure, event)
         elif event.kind == "load":
             self._load_ended(tenure, event)
         else:
             self._eviction_ended(tenure, event)
 
-    def _doubt(self, tenure: Tenure, event: events.OrderEnded) -> None:
-        # The order may land later: the name stays away from new requests until a
-        # report taken after the longest transit tells what became of it.
+    def _effect_unknown(self, tenure: Tenure, event: events.OrderEnded) -> None:
+        # The order may still take effect. The adapter gets no new requests until a
+        # report taken after the maximum transit time shows the outcome.
         now_s = self._context.now_s
-        tenure.ledger.doubt(event.model, event.kind, now_s)
+        tenure.ledger.mark_unknown(event.model, event.kind, now_s)
         if event.kind == "evict":
             tenure.takeover.quarantine([event.model], now_s)
-            for placed in self._placed_for(event.endpoint, event.model):
-                self._load_over(event.endpoint, placed.model, False)
+            for placed in self._placements_with_victim(event.endpoint, event.model):
+                self._send_load_ended(event.endpoint, placed.model, False)
         else:
-            self._load_over(event.endpoint, event.model, False)
+            self._send_load_ended(event.endpoint, event.model, False)
 
     def _load_ended(self, tenure: Tenure, event: events.OrderEnded) -> None:
         now_s = self._context.now_s
         tenure.ledger.end_load(event.model, event.succeeded, now_s)
-        self._load_over(event.endpoint, event.model, event.succeeded)
+        self._send_load_ended(event.endpoint, event.model, event.succeeded)
         self._owned.publish(tenure)
 
     def _eviction_ended(self, tenure: Tenure, event: events.OrderEnded) -> None:
         now_s = self._context.now_s
         tenure.ledger.end_eviction(event.model, event.succeeded, now_s)
-        self._eviction_over(tenure, event.model)
-        for placed in self._placed_for(event.endpoint, event.model):
+        self._send_eviction_finished(tenure, event.model)
+        for placed in self._placements_with_victim(event.endpoint, event.model):
             if tenure.closing:
-                self._load_over(event.endpoint, placed.model, False)
+                self._send_load_ended(event.endpoint, placed.model, False)
             else:
                 self._begin_load(tenure, placed.model)
         self._owned.publish(tenure)
 
-    def _placed_for(
+    def _placements_with_victim(
         self, endpoint: str, victim: AdapterVersion
     ) -> list[messages.LoadPlaced]:
         return [
             placed
-            for placed in self._placed.values()
+            for placed in self._placements.values()
             if placed.endpoint == endpoint and placed.victim == victim
         ]
 
-    def _load_over(self, endpoint: str, model: AdapterVersion, loaded: bool) -> None:
-        placed = self._placed.pop((endpoint, model), None)
+    def _send_load_ended(
+        self, endpoint: str, model: AdapterVersion, loaded: bool
+    ) -> None:
+        placed = self._placements.pop((endpoint, model), None)
         if placed is not None:
             ended = messages.LoadEnded(model, endpoint, loaded)
             self._context.send(placed.coordinator, ended)
--- a/packages/core/src/knapweedbridge_core/slot_survey.py
+++ b/packages/core/src/knapweedbridge_core/slot_survey.py
@@ -1,4 +1,4 @@
-"""Which slots a load could take, and what evicting their adapters would cost."""
+"""Finds the slots that a load could take and the cost of evicting from them."""
 
 import math
 from collections.abc import Iterator
@@ -11,9 +11,14 @@
 from knapweedbridge_core.slots import SlotOption
 from knapweedbridge_core.view import View
 
-PIN_GUESS_S = 0.5
-FRESH_S = 0.5
-MOST_SLOTS_WEIGHED = 256
+PIN_MEMORY_S = 0.5
+"""How long a slot that its owner declined to evict counts as pinned."""
+
+FRESH_LOAD_S = 0.5
+"""How long a new load is not evicted, so that its waiters can use it."""
+
+MAX_SLOTS_CONSIDERED = 256
+"""Number of slots after which a decision considers no further engine."""
 
 
 class SlotSurvey:
@@ -22,9 +27,9 @@
     Parameters
     ----------
     eviction : Eviction
-        Says what an adapter is worth where it is.
+        Computes the cost of evicting an adapter.
     copies : Copies
-        Says how many copies an adapter needs.
+        Computes how many copies an adapter needs.
     """
 
     def __init__(self, eviction: Eviction, copies: Copies) -> None:
@@ -32,26 +37,26 @@
         self._copies = copies
         self._pinned_until_s: dict[tuple[str, AdapterVersion | None], float] = {}
         self._fresh_until_s: dict[AdapterVersion, float] = {}
-        self._window = 0
+        self._window_start = 0
         self._worths: dict[tuple[AdapterVersion, int], float] = {}
-        self._worths_s = -math.inf
+        self._worths_at_s = -math.inf
 
     def clear_worths(self) -> None:
-        """Drop the worths that are kept, as new requests change them."""
-        self._worths_s = -math.inf
+        """Clear the cached worths, as new requests change them."""
+        self._worths_at_s = -math.inf
 
     def pinned(self, endpoint: str, held: AdapterVersion | None, now_s: float) -> None:
-        """Note that an owner declined to empty a slot."""
-        self._pinned_until_s[endpoint, held] = now_s + PIN_GUESS_S
+        """Record that an owner declined to evict from a slot."""
+        self._pinned_until_s[endpoint, held] = now_s + PIN_MEMORY_S
 
     def loaded(self, model: AdapterVersion, now_s: float) -> None:
-        """Note a fresh load, which is left a while to its waiters."""
-        self._fresh_until_s[model] = now_s + FRESH_S
+        """Record a new load, which is not evicted for a while."""
+        self._fresh_until_s[model] = now_s + FRESH_LOAD_S
 
     def forget_old(self, now_s: float) -> None:
-        """Forget the pins and fresh loads whose time is over."""
-        self._pinned_until_s = _still(self._pinned_until_s, now_s)
-        self._fresh_until_s = _still(self._fresh_until_s, now_s)
+        """Remove the expired pins and new loads."""
+        self._pinned_until_s = _unexpired(self._pinned_until_s, now_s)
+        self._fresh_until_s = _unexpired(self._fresh_until_s, now_s)
 
     def options(
         self, model: AdapterVersion, pool: Pool, busy: set[str], now_s: float
@@ -61,11 +66,11 @@
         Parameters
         ----------
         model : AdapterVersion
-            What is to be loaded.
+            Adapter version to load.
         pool : Pool
-            The pool now.
+            Current state of the pool.
         busy : set of str
-            Endpoints that already load.
+            Endpoints with a load in progress.
         """
         base_model = pool.base_model_of(model)
         for entry in self.engines(pool):
@@ -85,34 +90,35 @@
                 yield SlotOption(entry.name, held, worth, state.running, entry.batch)
 
     def engines(self, pool: Pool) -> Iterator[EndpointEntry]:
-        """Yield the engines that this decision weighs."""
-        # At the size of one pool this sees every slot; in a larger one the
-        # window moves on, so that a decision costs the same.
+        """Yield the engines that this decision considers."""
+        # A pool of usual size is considered whole. In a larger one the window moves
+        # A pool of usual size is below the limit and considered whole. In a larger
+        # one the window moves on with each decision, which bounds its cost.
         slots = 0
         count = len(pool.engines)
         for step in range(count):
-            entry = pool.engines[(self._window + step) % count]
+            entry = pool.engines[(self._window_start + step) % count]
             slots += entry.slots
             yield entry
-            if slots >= MOST_SLOTS_WEIGHED:
-                self._window = (self._window + step + 1) % count
+            if slots >= MAX_SLOTS_CONSIDERED:
+                self._window_start = (self._window_start + step + 1) % count
                 return
 
     def is_pinned(
         self, endpoint: str, held: AdapterVersion | None, now_s: float
     ) -> bool:
-        """Tell whether a slot, free where it holds None, cannot be taken now."""
+        """Return whether a slot, free if ``held`` is None, cannot be used now."""
         if self._pinned_until_s.get((endpoint, held), now_s) > now_s:
             return True
         return held is not None and self._fresh_until_s.get(held, now_s) > now_s
 
     def worth(self, held: AdapterVersion, view: View, now_s: float) -> float:
-        """Return what one copy of an adapter version is worth where it is."""
-        # A pinned victim is declined within a round trip and the next one chosen:
-        # the worths of one moment are kept.
-        if now_s != self._worths_s:
+        """Return the cost of evicting one copy of an adapter version."""
+        # An owner declines a pinned victim within a round trip and the next one is
+        # chosen, so the worths of one point in time are cached.
+        if now_s != self._worths_at_s:
             self._worths.clear()
-            self._worths_s = now_s
+            self._worths_at_s = now_s
         spare = max(0, view.copies(held) - self._copies.needed(held))
         worth = self._worths.get((held, spare))
         if worth is None:
@@ -121,5 +127,5 @@
         return worth
 
 
-def _still(until_s: dict, now_s: float) -> dict:
+def _unexpired(until_s: dict, now_s: float) -> dict:
     return {key: at_s for key, at_s in until_s.items() if at_s > now_s}
--- a/packages/core/src/knapweedbridge_core/takeover.py
+++ b/packages/core/src/knapweedbridge_core/takeover.py
@@ -1,4 +1,4 @@
-"""What a new owner must have learned and waited for."""
+"""Conditions that a new owner of an endpoint meets before it evicts or grants."""
 
 from dataclasses import dataclass, field
 from math import inf
@@ -15,16 +15,21 @@
 def wait_s(clean: bool, checks_fencing: bool) -> float:
     """Return how long a new owner waits before its first eviction.
 
-    An earlier owner whose lease lapsed unseen may give grants for as long as it
-    believes to hear its peers; to endpoints that ignore fencing numbers its last
-    order may be on the way.
+    An earlier owner that did not notice the expiry of its lease may give grants
+    until its information on peers is too old. If the endpoint ignores fencing
+    numbers, the last order of the earlier owner may still be in transit.
 
     Parameters
     ----------
     clean : bool
-        Whether the earlier owner had ended its orders and gave the endpoint away.
+        Whether the earlier owner finished its orders and released the endpoint.
     checks_fencing : bool
-        Whether the endpoint refuses old orders.
+        Whether the endpoint rejects orders with an old fencing number.
+
+    Returns
+    -------
+    float
+        Wait in seconds.
     """
     if clean:
         return 0.0
@@ -35,18 +40,19 @@
 
 @dataclass(slots=True)
 class Takeover:
-    """How far a new owner is.
+    """Progress of a new owner in taking over an endpoint.
 
     Parameters
     ----------
     began_s : float
-        When it claimed.
+        Time at which the new owner claimed the endpoint.
     settled_s : float
-        Before this nothing is evicted.
+        Time before which nothing is evicted or granted.
     pending_holders : set of str
-        Daemons that may hold grants and have not told.
+        Daemons that may hold grants and have not answered yet.
     quarantined : dict of AdapterVersion to float
-        Names that a late eviction may hit, and until when they are kept away.
+        Adapter versions that a late eviction may still remove, with the time at
+        which their quarantine ends.
     """
 
     began_s: float = -inf
@@ -55,27 +61,27 @@
     quarantined: dict[AdapterVersion, float] = field(default_factory=dict)
 
     @property
-    def is_collected(self) -> bool:
-        """Tell whether all holders told what they hold, or are dead."""
+    def has_all_answers(self) -> bool:
+        """Whether every possible holder has reported its grants or is dead."""
         return not self.pending_holders
 
     def quarantine(self, models: list[AdapterVersion], now_s: float) -> None:
-        """Keep names away that an earlier owner may have ordered to evict."""
+        """Quarantine adapter versions whose eviction may still be in transit."""
         for model in models:
             self.quarantined[model] = max(now_s, self.settled_s) + QUARANTINE_S
 
     def is_quarantined(self, model: AdapterVersion, now_s: float) -> bool:
-        """Tell whether a name is kept away."""
+        """Return whether an adapter version is in quarantine."""
         return now_s < self.quarantined.get(model, -inf)
 
     def may_evict(self, now_s: float) -> bool:
-        """Tell whether the first eviction may come."""
-        return self.is_collected and now_s >= self.settled_s
+        """Return whether evictions are allowed."""
+        return self.has_all_answers and now_s >= self.settled_s
 
     def may_grant(self, model: AdapterVersion, now_s: float) -> bool:
-        """Tell whether no late eviction can hit what is granted.
+        """Return whether no late eviction can remove an adapter that is granted.
 
-        Witnesses tell of evictions that were begun, but those who were asked may
-        have died since: what is in transit is waited out all the same.
+        Witnesses report the evictions that were begun, but the witnesses of an
+        eviction may have died since, so orders in transit are waited for as well.
         """
         return now_s >= self.settled_s and not self.is_quarantined(model, now_s)
