--- a/features/backpressure/environment.py
+++ b/features/backpressure/environment.py
@@ -3,7 +3,7 @@
 
 AREAS = Path(__file__).parent.parent
 
-# Its daemons and stand-ins are those of the whole path on the platform's wire.
+# Uses the daemons and stand-ins of the platform area.
 for folder in ("platform", "platform/steps", "accounts", "backpressure"):
     sys.path.insert(0, str(AREAS / folder))
 
--- a/features/backpressure/leaving.feature
+++ b/features/backpressure/leaving.feature
@@ -1,30 +1,30 @@
-Feature: An endpoint that says in its answers that it leaves gets no new calls
+Feature: An endpoint that announces draining in its responses receives no new calls
 
-  Scenario Outline: An endpoint that leaves by its answers gets no new calls: <endpoint>, <while>
-    Guards against calls to an endpoint whose leaving only its own answers tell.
+  Scenario Outline: An endpoint that announces draining receives no new calls: <endpoint>, <while>
+    Guards against calls to an endpoint whose draining is known only from its responses.
 
     Given the whole path
-    When <endpoint> leaves by its answers while <while>, and calls come for 4 s
-    Then it gets no call later than 2 s after the first such answer
+    When <endpoint> announces draining while <while>, and calls arrive for 4 s
+    Then it receives no call later than 2 s after the first such response
     And all calls are answered
 
     Examples:
-      | endpoint | while                       |
-      | desk-1   | the store is away           |
-      | engine-1 | the store is away           |
-      | desk-1   | its entry says that it stays |
-      | engine-1 | its entry says that it stays |
+      | endpoint | while                      |
+      | desk-1   | the store is unavailable   |
+      | engine-1 | the store is unavailable   |
+      | desk-1   | its entry says it is ready |
+      | engine-1 | its entry says it is ready |
 
-  Scenario: A call that waits for its turn is not sent to an endpoint that leaves by then
-    Guards against calls that are sent after the answer that tells the leaving.
+  Scenario: A queued call is not sent to an endpoint that starts draining
+    Guards against calls that are sent after the response that announces draining.
 
     Given the whole path
-    When a draft waits for its turn at an engine that then leaves
-    Then the draft is answered whole, by the other engine
+    When a draft is queued for an engine that then starts draining
+    Then the other engine completes the draft
 
-  Scenario: An endpoint that starts again under its id gets calls again
-    Guards against a leaving that outlives the start that it was said of.
+  Scenario: An endpoint that restarts under its id receives calls again
+    Guards against a draining state that outlives a restart of the endpoint.
 
     Given the whole path
-    When all plain endpoints leave by their answers and start again
-    Then calls are soon answered
+    When all plain endpoints announce draining and restart
+    Then calls soon succeed
--- a/features/backpressure/pressure_calls.py
+++ b/features/backpressure/pressure_calls.py
@@ -1,4 +1,4 @@
-"""Calls to a service of the whole path, one of whose endpoints asks for something."""
+"""Calls to a service with an endpoint that signals backpressure."""
 
 import anyio
 import httpx
--- a/features/backpressure/rest.feature
+++ b/features/backpressure/rest.feature
@@ -1,29 +1,29 @@
-Feature: An endpoint that asks for rest gets nothing from the host that it asked
+Feature: An endpoint that requests a pause receives no calls from that host
 
-  Scenario Outline: An endpoint gets the rest that it asks for: <endpoint>
-    Guards against hosts that go on trying an endpoint that turns all calls away.
+  Scenario Outline: An endpoint is paused for as long as it requests: <endpoint>
+    Guards against hosts that keep trying an endpoint that rejects all calls.
 
     Given the whole path
-    When <endpoint> turns calls away with <rest> s of rest, and calls come for 5 s
-    Then it gets at most 2 calls from 0.5 s after each such answer to the rest's end
+    When <endpoint> rejects calls with a pause of <pause> s, and calls arrive for 5 s
+    Then it receives at most 2 calls from 0.5 s after each rejection to the end of its pause
     And all calls are answered
 
     Examples:
-      | endpoint | rest |
-      | desk-1   | 1.5  |
-      | desk-1   | 3    |
-      | engine-1 | 3    |
+      | endpoint | pause |
+      | desk-1   | 1.5   |
+      | desk-1   | 3     |
+      | engine-1 | 3     |
 
-  Scenario: Callers are refused at once while all endpoints rest
-    Guards against callers who wait for, or try in vain, endpoints that want nothing.
+  Scenario: Callers are refused at once while all endpoints are paused
+    Guards against calls that wait for paused endpoints or are sent to them.
 
     Given the whole path
-    When all plain endpoints turn calls away with 3 s of rest, and then a call comes
-    Then it is refused within 0.3 s, reaches no endpoint, and is told to come back after the rest
+    When all plain endpoints reject calls with a pause of 3 s, and then a call arrives
+    Then it is refused within 0.3 s, reaches no endpoint, and Retry-After names the end of the pause
 
-  Scenario: A call that waits for its turn is not sent to an endpoint that asks for rest by then
-    Guards against calls that are sent after the answer that asks for rest.
+  Scenario: A queued call is not sent to an endpoint that requests a pause
+    Guards against calls that are sent after the response that requests a pause.
 
     Given the whole path
-    When a draft waits for its turn at an engine that then asks for rest
-    Then the draft is answered whole, by the other engine
+    When a draft is queued for an engine that then requests a pause
+    Then the other engine completes the draft
--- a/features/backpressure/steps/brittle_steps.py
+++ b/features/backpressure/steps/brittle_steps.py
@@ -5,11 +5,11 @@
 
 from knapweedbridge_core.serving import RejectionBudget
 
-CONTACT_S = 3.0
-"""From when on a brittle endpoint may fall over."""
+SETTLE_S = 3.0
+"""Time after which the limit of a brittle endpoint must be kept."""
 
-COUNTED_S = 2.0
-ROOM = 2
+MEASURED_S = 2.0
+SLOTS = 2
 
 
 async def call_once(path, is_engine, number, daemons, answers):
@@ -22,89 +22,91 @@
 
 
 @when(
-    "the service of {name} has room for 2 calls each and bears {bears:d}, and "
-    "{per_s:d} calls a second come"
+    "endpoints of the service of {name} have 2 slots and bear {bears:d} rejections, "
+    "and {per_s:d} calls per second arrive"
 )
 @played(lease_ms=10000)
-async def many_calls(context, path, name, bears, per_s):
+async def send_many_calls(context, path, name, bears, per_s):
     endpoint = find_endpoint(path, name)
     is_engine = endpoint in path.engines
     context.service = path.engines if is_engine else path.desks
     for each in context.service:
-        each.room, each.brittle_per_s = ROOM, bears
+        each.room, each.brittle_per_s = SLOTS, bears
         each.work_s, each.pause_s = 0.1, 0.02
     context.answers = []
-    context.since_s = anyio.current_time() + CONTACT_S
+    context.since_s = anyio.current_time() + SETTLE_S
     async with anyio.create_task_group() as tasks:
-        for number in range(round(per_s * (CONTACT_S + COUNTED_S))):
+        for number in range(round(per_s * (SETTLE_S + MEASURED_S))):
             tasks.start_soon(
                 call_once, path, is_engine, number, context.daemons, context.answers
             )
             await anyio.sleep(1 / per_s)
 
 
-@then("from 3 s on none of its endpoints turns away more than {bears:d} in a second")
-def turns_away(context, bears):
+@then("after 3 s none of its endpoints rejects more than {bears:d} calls in a second")
+def rejects_at_most(context, bears):
     for each in context.service:
         each.turned_away_s = [at for at in each.turned_away_s if at >= context.since_s]
-    most = {each.name: each.turned_away_at_most(1.0) for each in context.service}
-    assert max(most.values()) <= bears, most
+    counts = {each.name: each.turned_away_at_most(1.0) for each in context.service}
+    assert max(counts.values()) <= bears, counts
 
 
-@then("calls are answered all the while")
-def answered_all_the_while(context):
-    ended_s = [at for at, status in context.answers if status == 200]
-    for second in range(round(CONTACT_S + COUNTED_S)):
-        begins_s = context.since_s - CONTACT_S + second
-        assert any(begins_s <= at < begins_s + 1 for at in ended_s), second
+@then("calls succeed in every second")
+def succeed_in_every_second(context):
+    succeeded_s = [at for at, status in context.answers if status == 200]
+    for second in range(round(SETTLE_S + MEASURED_S)):
+        begins_s = context.since_s - SETTLE_S + second
+        assert any(begins_s <= at < begins_s + 1 for at in succeeded_s), second
 
 
-@when("the plain endpoints say that they are brittle, and later that they are not")
+@when("the plain endpoints state that they are brittle, and later that they are not")
 @played()
-async def brittle_for_a_while(context, path):
-    context.asked = []
+async def brittle_and_then_not(context, path):
+    context.permits = []
     for bears in (2, None):
         for desk in path.desks:
             desk.brittle_per_s = bears
         for _ in range(6):
             await path.call("GET", "/look/1")
-        before = permits_taken(await metrics(path))
+        before = count_permits(await metrics(path))
         for _ in range(4):
             await path.call("GET", "/look/1")
-        context.asked.append(permits_taken(await metrics(path)) - before)
+        context.permits.append(count_permits(await metrics(path)) - before)
 
 
-def permits_taken(page):
+def count_permits(page):
     rows = [row for row in page.splitlines() if 'permits_total{kind="taken"}' in row]
     return sum(float(row.split()[-1]) for row in rows)
 
 
-@then("calls are sent without asking for room")
-def without_asking(context):
-    assert context.asked == [4, 0], context.asked
+@then("calls are sent without requesting permits")
+def without_permits(context):
+    assert context.permits == [4, 0], context.permits
 
 
-@given("an endpoint that bears {most:d} calls a second")
-def budget(context, most):
-    context.room, context.most = RejectionBudget(), most
+@given("an endpoint that bears {limit:d} rejections per second")
+def rejection_budget(context, limit):
+    context.budget, context.limit = RejectionBudget(), limit
 
 
-def moments(text):
+def parse_times(text):
     return [] if text == "none" else [int(each) for each in text.split(",")]
 
 
-@when("at {asked} ms calls ask for room, and at {turned_away} ms calls are turned away")
-def ask_for_room(context, asked, turned_away):
-    events = [(at, "asked") for at in moments(asked)]
-    events += [(at, "turned away") for at in moments(turned_away)]
-    context.given = []
+@when(
+    "calls request permits at {requested} ms, and calls are rejected at {rejected} ms"
+)
+def request_permits(context, requested, rejected):
+    events = [(at, "requested") for at in parse_times(requested)]
+    events += [(at, "rejected") for at in parse_times(rejected)]
+    context.granted = []
     for at, event in sorted(events):
-        if event == "turned away":
-            context.room.turned_away(at / 1000)
-        elif context.room.take(context.most, at / 1000) == 0.0:
-            context.given.append(at)
+        if event == "rejected":
+            context.budget.turned_away(at / 1000)
+        elif context.budget.take(context.limit, at / 1000) == 0.0:
+            context.granted.append(at)
 
 
-@then("room is given at {given} ms")
-def room_given(context, given):
-    assert context.given == moments(given), context.given
+@then("permits are granted at {granted} ms")
+def permits_granted(context, granted):
+    assert context.granted == parse_times(granted), context.granted
--- a/features/backpressure/steps/path.py
+++ b/features/backpressure/steps/path.py
@@ -1,3 +1,3 @@
-"""Takes over the steps that begin a story on the whole path."""
+"""Imports the steps that start the whole path."""
 
 import path_steps  # noqa: F401
--- a/features/backpressure/steps/pause_steps.py
+++ b/features/backpressure/steps/pause_steps.py
@@ -13,29 +13,29 @@
 REFUSED_WITHIN_S = 0.3
 
 
-@when("{name} leaves by its answers while {trouble}, and calls come for {seconds:g} s")
+@when("{name} announces draining while {condition}, and calls arrive for {seconds:g} s")
 @played(lease_ms=10000)
-async def leaves_by_answers(context, path, name, trouble, seconds):
+async def announce_draining(context, path, name, condition, seconds):
     endpoint, context.answers = find_endpoint(path, name), []
     await call_repeatedly(path, endpoint, CALLS_PER_S, 1, 1, [])
-    path.store.down = trouble == "the store is away"
+    path.store.down = condition == "the store is unavailable"
     endpoint.leaves = True
     began_s = anyio.current_time()
     async with anyio.create_task_group() as tasks:
         if not path.store.down:
-            tasks.start_soon(say_ready, path, endpoint)
+            tasks.start_soon(list_as_ready, path, endpoint)
         await call_repeatedly(path, endpoint, CALLS_PER_S, seconds, 1, context.answers)
         tasks.cancel_scope.cancel()
     context.arrivals_s = [each for each in endpoint.arrivals_s if each >= began_s]
 
 
-async def say_ready(path, endpoint):
+async def list_as_ready(path, endpoint):
     while True:
         path.store.put(f"servers/{endpoint.name}", endpoint.entry())
         await anyio.sleep(0.3)
 
 
-@then("it gets no call later than {bound:g} s after the first such answer")
+@then("it receives no call later than {bound:g} s after the first such response")
 def no_later(context, bound):
     first_s = context.arrivals_s[0]
     late = [each - first_s for each in context.arrivals_s if each > first_s + bound]
@@ -43,7 +43,7 @@
 
 
 async def mark_and_send(path, mark):
-    """Send a draft whose engine asks for something while it waits for its turn."""
+    """Send a draft, and apply ``mark`` to the engine for which it is queued."""
     await path.draft("base/a1")
     marked = []
 
@@ -60,33 +60,33 @@
     return response, find_endpoint(path, marked[0])
 
 
-@when("a draft waits for its turn at an engine that then leaves")
+@when("a draft is queued for an engine that then starts draining")
 @played(lease_ms=3000)
-async def leaves_meanwhile(context, path):
+async def drain_while_queued(context, path):
     context.found = await mark_and_send(
         path, lambda pressure: pressure.record_draining()
     )
 
 
-@when("a draft waits for its turn at an engine that then asks for rest")
+@when("a draft is queued for an engine that then requests a pause")
 @played(lease_ms=3000)
-async def rests_meanwhile(context, path):
+async def pause_while_queued(context, path):
     def mark(pressure):
         pressure.record_pause(5.0, anyio.current_time())
 
     context.found = await mark_and_send(path, mark)
 
 
-@then("the draft is answered whole, by the other engine")
-def whole_by_other(context):
+@then("the other engine completes the draft")
+def completed_by_other(context):
     response, marked = context.found
     assert is_whole(response), response
     assert not marked.requests, marked.requests
 
 
-@when("all plain endpoints leave by their answers and start again")
+@when("all plain endpoints announce draining and restart")
 @played(lease_ms=3000)
-async def leave_and_start(context, path):
+async def drain_and_restart(context, path):
     for desk in path.desks:
         desk.leaves = True
     for _ in path.desks:
@@ -101,38 +101,40 @@
     context.answer = await path.call("GET", "/look/1")
 
 
-@then("calls are soon answered")
-def soon_answered(context):
+@then("calls soon succeed")
+def succeed_soon(context):
     assert context.answer.status_code == 200, context.answer
 
 
 @when(
-    "{name} turns calls away with {rest:g} s of rest, and calls come for {seconds:g} s"
+    "{name} rejects calls with a pause of {pause:g} s, and calls arrive for "
+    "{seconds:g} s"
 )
 @played(lease_ms=3000)
-async def turns_away(context, path, name, rest, seconds):
+async def rejects_with_pause(context, path, name, pause, seconds):
     endpoint, context.answers = find_endpoint(path, name), []
     await call_repeatedly(path, endpoint, CALLS_PER_S, 1, 1, [])
-    endpoint.retry_after_s = context.retry_after_s = rest
+    endpoint.retry_after_s = context.retry_after_s = pause
     began_s = anyio.current_time()
     await call_repeatedly(path, endpoint, CALLS_PER_S, seconds, 1, context.answers)
     context.arrivals_s = [each for each in endpoint.arrivals_s if each >= began_s]
 
 
 @then(
-    "it gets at most {most:d} calls from 0.5 s after each such answer to the rest's end"
+    "it receives at most {most:d} calls from 0.5 s after each rejection to the end of "
+    "its pause"
 )
-def gets_rest(context, most):
+def is_paused(context, most):
     assert context.arrivals_s
     for asked_s in context.arrivals_s:
         span = asked_s + SETTLE_S, asked_s + context.retry_after_s
         got = sum(span[0] < each < span[1] for each in context.arrivals_s)
-        assert got <= most, f"{got} calls while it wanted to rest"
+        assert got <= most, f"{got} calls during its pause"
 
 
-@when("all plain endpoints turn calls away with 3 s of rest, and then a call comes")
+@when("all plain endpoints reject calls with a pause of 3 s, and then a call arrives")
 @played(lease_ms=3000)
-async def all_rest(context, path):
+async def pause_all(context, path):
     for desk in path.desks:
         desk.retry_after_s = 3
     for _ in path.desks:
@@ -145,8 +147,8 @@
 
 
 @then(
-    "it is refused within 0.3 s, reaches no endpoint, and is told to come back after "
-    "the rest"
+    "it is refused within 0.3 s, reaches no endpoint, and Retry-After names the end of "
+    "the pause"
 )
 def refused_at_once(context):
     assert context.answer.status_code == 503, context.answer
--- a/features/backpressure/steps/sign_steps.py
+++ b/features/backpressure/steps/sign_steps.py
@@ -6,25 +6,25 @@
 from knapweedbridge_platform.endpoints import PlatformEndpoints
 
 
-@when('an endpoint answers {status:d} with "{name}" of "{value}"')
-def endpoint_answers(context, status, name, value):
+@when('an endpoint responds with {status:d} and the header "{name}: {value}"')
+def endpoint_responds(context, status, name, value):
     head = ResponseHead(status, [(name.encode(), value.encode())], b"")
     context.answer = PlatformEndpoints().read_response(head)
 
 
-@then("the endpoint is {leaves}, wants a rest of {rest}, unreadable: {unreadable}")
-def is_read_as(context, leaves, rest, unreadable):
+@then("the endpoint is {state}, requests a pause of {pause}, unreadable: {unreadable}")
+def is_decoded_as(context, state, pause, unreadable):
     answer = context.answer
-    assert answer.leaves == (leaves == "leaving"), answer
-    assert answer.retry_after_s == (None if rest == "none" else float(rest)), answer
+    assert answer.leaves == (state == "draining"), answer
+    assert answer.retry_after_s == (None if pause == "none" else float(pause)), answer
     assert bool(answer.unreadable) == (unreadable == "yes"), answer
 
 
-@when("all plain endpoints {do}, and a call comes")
+@when("all plain endpoints {do}, and a call arrives")
 @played()
-async def all_do(context, path, do):
+async def signal_all(context, path, do):
     for desk in path.desks:
-        if do == "leave":
+        if do == "announce draining":
             desk.leaves = True
         else:
             desk.retry_after_s = 3
@@ -32,8 +32,8 @@
     context.metrics = await metrics(path)
 
 
-@then('the log tells it as "{line}", and the gauge "{gauge}" counts it')
-def told_as(context, line, gauge):
+@then('the log has a line "{line}", and the gauge "{gauge}" counts it')
+def is_logged(context, line, gauge):
     assert line in {each["message_type"] for each in context.lines}, context.lines
     (level,) = (
         row.split()[1]
--- a/features/wire/responses.feature
+++ b/features/wire/responses.feature
@@ -1,64 +1,64 @@
-Feature: What endpoints answer is read, or counts as broken, as before
-  The bytes go to the client over a socket, and to h11, which read them before. h11
-  takes a folded line, and chunks where a length is told too; both count as broken
-  since httptools reads heads.
+Feature: Responses are parsed or rejected as by h11
+  The bytes are sent to the HTTP client over a socket, and passed to h11, which the client
+  used before. h11 accepts folded headers, and chunked bodies that also have a
+  Content-Length; both count as broken since httptools parses the heads.
 
-  Scenario Outline: <what>, and then it <end>
-    Guards against cut answers that look whole, answers of other calls, and connections
-    that are used again with bytes on them.
+  Scenario Outline: <what>, and then the connection <end>
+    Guards against truncated responses that look complete, responses to other calls, and
+    connections that are reused with unread bytes.
 
-    When an endpoint answers with <what>, whole and in pieces, and then <end>
-    Then each time the connection is found <kept>
-    And h11 alone finds it <by_h11>, and reads the same where both take it
+    When an endpoint responds with <what>, at once and in pieces, and then <end>
+    Then the connection is always <outcome>
+    And with h11 it is <by_h11>, and the body is the same if both accept it
 
     Examples:
-      | what                     | end      | kept   | by_h11 |
-      | a length                 | stays    | kept   | kept   |
-      | chunks                   | stays    | kept   | kept   |
-      | no body                  | stays    | kept   | kept   |
-      | no reason                | stays    | kept   | kept   |
-      | HTTP/1.0                 | stays    | closed | closed |
-      | a close                  | stays    | closed | closed |
-      | an early hint            | stays    | kept   | kept   |
-      | another's first          | stays    | kept   | kept   |
-      | another's alone          | stays    | waits  | waits  |
-      | bytes after the end      | stays    | closed | closed |
-      | a line end after the end | stays    | closed | closed |
-      | no length                | stays    | waits  | waits  |
-      | a body that is cut       | stays    | waits  | waits  |
-      | a last chunk that is cut | stays    | waits  | waits  |
-      | a length and chunks      | stays    | broken | kept   |
-      | two lengths              | stays    | broken | broken |
-      | another coding           | stays    | broken | broken |
-      | a chunk without a length | stays    | broken | broken |
-      | a null in a value        | stays    | broken | broken |
-      | a bad name               | stays    | broken | broken |
-      | a folded line            | stays    | broken | kept   |
-      | a status of two digits   | stays    | broken | broken |
-      | a change of protocol     | stays    | broken | broken |
-      | no HTTP                  | stays    | broken | broken |
-      | a head without an end    | stays    | broken | broken |
-      | no length                | ends     | closed | closed |
-      | another's alone          | ends     | broken | broken |
-      | a body that is cut       | ends     | broken | broken |
-      | chunks that are cut      | ends     | broken | broken |
-      | a last chunk that is cut | ends     | broken | broken |
-      | a head that is cut       | ends     | broken | broken |
-      | nothing                  | ends     | broken | broken |
-      | no length                | is reset | broken | broken |
-      | a body that is cut       | is reset | broken | broken |
-      | chunks that are cut      | is reset | broken | broken |
-      | nothing                  | is reset | broken | broken |
+      | what                          | end        | outcome | by_h11  |
+      | a Content-Length              | stays open | kept    | kept    |
+      | a chunked body                | stays open | kept    | kept    |
+      | no body                       | stays open | kept    | kept    |
+      | no reason phrase              | stays open | kept    | kept    |
+      | HTTP/1.0                      | stays open | closed  | closed  |
+      | Connection: close             | stays open | closed  | closed  |
+      | an early hint                 | stays open | kept    | kept    |
+      | another call's response first | stays open | kept    | kept    |
+      | only another call's response  | stays open | pending | pending |
+      | bytes after the end           | stays open | closed  | closed  |
+      | a line break after the end    | stays open | closed  | closed  |
+      | no Content-Length             | stays open | pending | pending |
+      | a truncated body              | stays open | pending | pending |
+      | a truncated last chunk        | stays open | pending | pending |
+      | Content-Length and chunked    | stays open | broken  | kept    |
+      | two Content-Lengths           | stays open | broken  | broken  |
+      | an unsupported coding         | stays open | broken  | broken  |
+      | a chunk without a size        | stays open | broken  | broken  |
+      | a NUL in a value              | stays open | broken  | broken  |
+      | an invalid header name        | stays open | broken  | broken  |
+      | a folded header               | stays open | broken  | kept    |
+      | a status of two digits        | stays open | broken  | broken  |
+      | a protocol switch             | stays open | broken  | broken  |
+      | not HTTP                      | stays open | broken  | broken  |
+      | an endless head               | stays open | broken  | broken  |
+      | no Content-Length             | closes     | closed  | closed  |
+      | only another call's response  | closes     | broken  | broken  |
+      | a truncated body              | closes     | broken  | broken  |
+      | truncated chunks              | closes     | broken  | broken  |
+      | a truncated last chunk        | closes     | broken  | broken  |
+      | a truncated head              | closes     | broken  | broken  |
+      | nothing                       | closes     | broken  | broken  |
+      | no Content-Length             | is reset   | broken  | broken  |
+      | a truncated body              | is reset   | broken  | broken  |
+      | truncated chunks              | is reset   | broken  | broken  |
+      | nothing                       | is reset   | broken  | broken  |
 
-  Scenario: A call whose time is over is not sent
-    Guards against calls that run at an endpoint though nobody waits for them: a write
-    to an open connection gives the event loop no turn in which they would be cancelled.
+  Scenario: A call that has timed out is not sent
+    Guards against calls that run at an endpoint although nobody waits for them. A write
+    to an open connection does not yield to the event loop, which would cancel them.
 
-    When a call is to be sent whose time is over, on an open connection
+    When a call that has timed out is sent on an open connection
     Then it does not reach the endpoint
 
-  Scenario: A header that would end its line is not written
-    Guards against a value, of an event or of the store, that writes headers of its own.
+  Scenario: A header value with a line break is not written
+    Guards against header injection by values of events or of the store.
 
-    When a request has a header value with a line end
-    Then it counts as not sent, and nothing reaches the endpoint
+    When a request has a header value with a line break
+    Then the request is not sent and does not reach the endpoint
--- a/features/wire/steps/caller_steps.py
+++ b/features/wire/steps/caller_steps.py
@@ -1,7 +1,15 @@
 import anyio
 from behave import then, when
 from wire_cases import REQUESTS
-from wire_play import QUIET_S, SETTLE_S, Face, read_all, reset, run, statuses_of
+from wire_exchanges import (
+    QUIET_S,
+    SETTLE_S,
+    RecordingServer,
+    parse_statuses,
+    read_all,
+    reset,
+    run,
+)
 
 from knapweedbridge_daemon.serving.http_client import (
     ConnectionPool,
@@ -10,44 +18,44 @@
 )
 from knapweedbridge_daemon.serving.wire import RequestHead, ResponseHead
 
-ACCEPTED_S = 3.0
+ACCEPT_TIMEOUT_S = 3.0
 
 
-@when("a caller of HTTP/1.0 asks for a stream that breaks off")
-def cut_stream(context):
+@when("an HTTP/1.0 caller requests a stream that is truncated")
+def truncate_stream(context):
     async def begin(request, responder):
         await responder.start(ResponseHead(200, []))
         await responder.send(b"a part")
 
-    async def story():
+    async def run_scenario():
         async with anyio.create_task_group() as tasks:
-            port = await Face(begin).start(tasks)
+            port = await RecordingServer(begin).start(tasks)
             async with await anyio.connect_tcp("127.0.0.1", port) as stream:
                 await stream.send(b"GET / HTTP/1.0\r\n\r\n")
-                context.got, context.end = b"", ""
+                context.received, context.end = b"", ""
                 try:
                     while True:
-                        context.got += await stream.receive()
+                        context.received += await stream.receive()
                 except anyio.EndOfStream:
                     context.end = "ended"
                 except anyio.BrokenResourceError:
                     context.end = "reset"
             tasks.cancel_scope.cancel()
 
-    run(story)
+    run(run_scenario)
 
 
 @then("its connection is reset")
 def is_reset(context):
-    assert context.end == "reset", (context.end, context.got)
+    assert context.end == "reset", (context.end, context.received)
 
 
-@when("a call is to be sent whose time is over, on an open connection")
-def over_time(context):
-    async def story():
+@when("a call that has timed out is sent on an open connection")
+def send_after_timeout(context):
+    async def run_scenario():
         async with anyio.create_task_group() as tasks:
-            face = Face()
-            address = f"127.0.0.1:{await face.start(tasks)}"
+            server = RecordingServer()
+            address = f"127.0.0.1:{await server.start(tasks)}"
             pool = ConnectionPool()
             head = RequestHead(b"GET", b"/", [(b"Host", b"h")])
             for deadline_s in (5.0, 0.0):
@@ -57,11 +65,11 @@
                         async for _ in connection.read_body():
                             pass
             await anyio.sleep(0.05)
-            context.requests = len(face.requests)
+            context.requests = len(server.requests)
             await pool.aclose()
             tasks.cancel_scope.cancel()
 
-    run(story)
+    run(run_scenario)
 
 
 @then("it does not reach the endpoint")
@@ -69,97 +77,97 @@
     assert context.requests == 1, context.requests
 
 
-@when("a caller reads nothing of a long answer, and then reads it")
-def reads_nothing(context):
+@when("a caller does not read a long response, and then reads it")
+def read_late(context):
     async def stream_on(request, responder):
         await responder.start(ResponseHead(200, []))
         for _ in range(4000):
             await responder.send(b"x" * 65536)
             context.sent += 1
 
-    async def story():
+    async def run_scenario():
         context.sent = 0
         async with anyio.create_task_group() as tasks:
-            port = await Face(stream_on).start(tasks)
+            port = await RecordingServer(stream_on).start(tasks)
             async with await anyio.connect_tcp("127.0.0.1", port) as stream:
                 await stream.send(b"GET / HTTP/1.1\r\nHost: h\r\n\r\n")
                 await anyio.sleep(QUIET_S)
                 before = context.sent
                 await anyio.sleep(QUIET_S)
-                context.held = context.sent - before
+                context.sent_while_blocked = context.sent - before
                 for _ in range(1000):
                     await stream.receive()
-                context.more = context.sent - before
+                context.sent_after_reading = context.sent - before
             tasks.cancel_scope.cancel()
 
-    run(story)
+    run(run_scenario)
 
 
-@then("meanwhile the answer's writer waits, and then it goes on")
+@then("the writer of the response waits until the caller reads")
 def writer_waits(context):
     assert context.sent < 4000, context.sent
-    assert context.held == 0, context.held
-    assert context.more > 0, context.more
+    assert context.sent_while_blocked == 0, context.sent_while_blocked
+    assert context.sent_after_reading > 0, context.sent_after_reading
 
 
-LEAVING = {
+DISCONNECTS = {
     "closes": lambda stream: stream.aclose(),
     "resets": reset,
-    "ends what it sends": lambda stream: stream.send_eof(),
+    "closes for writing": lambda stream: stream.send_eof(),
 }
 
 
-@when("a caller {leaves} while its request runs")
-def leaves_meanwhile(context, leaves):
-    context.broken_off_s = None
+@when("a caller {disconnects} while its request runs")
+def disconnects_meanwhile(context, disconnects):
+    context.cancelled_after_s = None
 
     async def wait(request, responder):
         began_s = anyio.current_time()
         try:
             await anyio.sleep(3 * QUIET_S)
         finally:
-            context.broken_off_s = anyio.current_time() - began_s
+            context.cancelled_after_s = anyio.current_time() - began_s
 
-    async def story():
+    async def run_scenario():
         async with anyio.create_task_group() as tasks:
-            port = await Face(wait).start(tasks)
+            port = await RecordingServer(wait).start(tasks)
             async with await anyio.connect_tcp("127.0.0.1", port) as stream:
                 await stream.send(REQUESTS["a request"])
                 await anyio.sleep(SETTLE_S)
-                await LEAVING[leaves](stream)
+                await DISCONNECTS[disconnects](stream)
                 await anyio.sleep(4 * QUIET_S)
             tasks.cancel_scope.cancel()
 
-    run(story)
+    run(run_scenario)
 
 
-@then("the request is broken off within {bound:g} s")
-def broken_off(context, bound):
-    found_s = context.broken_off_s
+@then("the request is cancelled within {bound:g} s")
+def is_cancelled(context, bound):
+    found_s = context.cancelled_after_s
     assert found_s is not None and found_s < SETTLE_S + bound, found_s
 
 
-@when("the face closes, with one idle connection and one request that runs")
-def face_closes(context):
+@when("the server closes with one idle connection and one running request")
+def server_closes(context):
     async def answer_late(request, responder):
         await anyio.sleep(QUIET_S / 2)
         await responder.answer(200, [], b"ok")
 
-    async def story():
-        context.ends_s, face = {}, Face(answer_late)
+    async def run_scenario():
+        context.ends_s, server = {}, RecordingServer(answer_late)
         async with anyio.create_task_group() as tasks:
-            port = await face.start(tasks)
+            port = await server.start(tasks)
             tasks.start_soon(read_to_end, context, port, "idle", b"")
             tasks.start_soon(read_to_end, context, port, "runs", REQUESTS["a request"])
-            with anyio.fail_after(ACCEPTED_S):
-                while not (face.face.idle and face.requests):
+            with anyio.fail_after(ACCEPT_TIMEOUT_S):
+                while not (server.http_server.idle and server.requests):
                     await anyio.sleep(0.001)
-            face.face.closing = True
-            face.face.close_idle()
+            server.http_server.closing = True
+            server.http_server.close_idle()
             await anyio.sleep(QUIET_S * 2)
             tasks.cancel_scope.cancel()
 
-    run(story)
+    run(run_scenario)
 
 
 async def read_to_end(context, port, name, request):
@@ -167,23 +175,28 @@
         began_s = anyio.current_time()
         if request:
             await stream.send(request)
-        got = await read_all(stream)
-        context.ends_s[name] = anyio.current_time() - began_s, got
+        received = await read_all(stream)
+        context.ends_s[name] = anyio.current_time() - began_s, received
 
 
-@then("the idle one is closed at once, and the other after its answer")
+@then("the idle connection is closed at once, and the other after its response")
 def closed_in_order(context):
-    (idle_s, nothing), (ran_s, got) = context.ends_s["idle"], context.ends_s["runs"]
+    (idle_s, nothing), (ran_s, received) = (
+        context.ends_s["idle"],
+        context.ends_s["runs"],
+    )
     assert nothing == b"" and idle_s < ran_s, (idle_s, ran_s)
-    assert statuses_of(got) == "200" and b"Connection: close" in got, got
+    assert parse_statuses(received) == "200" and b"Connection: close" in received, (
+        received
+    )
 
 
-@when("a request has a header value with a line end")
-def line_end_in_value(context):
-    async def story():
+@when("a request has a header value with a line break")
+def send_line_break(context):
+    async def run_scenario():
         async with anyio.create_task_group() as tasks:
-            face, pool = Face(), ConnectionPool()
-            address = f"127.0.0.1:{await face.start(tasks)}"
+            server, pool = RecordingServer(), ConnectionPool()
+            address = f"127.0.0.1:{await server.start(tasks)}"
             headers = [(b"Host", b"h"), (b"Last-Event-Id", b"1\r\nTenant: b")]
             head, context.outcome = RequestHead(b"GET", b"/", headers), "sent"
             try:
@@ -191,12 +204,12 @@
                     await connection.exchange(head, b"", lambda found: True)
             except NotSentError:
                 context.outcome = "not sent"
-            context.requests = len(face.requests)
+            context.requests = len(server.requests)
             tasks.cancel_scope.cancel()
 
-    run(story)
+    run(run_scenario)
 
 
-@then("it counts as not sent, and nothing reaches the endpoint")
+@then("the request is not sent and does not reach the endpoint")
 def not_sent(context):
     assert (context.outcome, context.requests) == ("not sent", 0), context.requests
--- a/features/wire/steps/event_steps.py
+++ b/features/wire/steps/event_steps.py
@@ -25,7 +25,7 @@
 
 
 def events_of(stream, after):
-    """Return the bytes, the number and the last id of the events that are wanted."""
+    """Return the bytes, the number and the last id of the events, and the rest."""
     kept, last_id = [], None
     while (end := re.search(rb"\r?\n\r?\n", stream)) is not None:
         event, stream = stream[: end.end()], stream[end.end() :]
@@ -38,24 +38,28 @@
     return b"".join(kept), len(kept), last_id, stream
 
 
-@then("for any stream and any chunks the events after {after} are those of the whole")
+@then("for any stream and any chunks the events after {after} are those of the stream")
 def any_chunks(context, after):
     after = None if after == "none" else after
 
     @settings(max_examples=1000, derandomize=True, deadline=None, database=None)
     @for_all(st.lists(EVENTS, max_size=7), st.data())
-    def agree(events, data):
+    def check_split(events, data):
         stream = b"".join(events)
-        cuts = st.lists(st.integers(0, len(stream)), max_size=6)
-        # Most chunks are one event each; some streams are cut at other places.
+        random_ends = st.lists(st.integers(0, len(stream)), max_size=6)
+        # Most chunks are one event each; some streams are split at other places.
         ends = [sum(map(len, events[: n + 1])) for n in range(len(events))]
-        bounds = [0, *sorted(data.draw(st.one_of(cuts, st.just(ends)))), len(stream)]
-        cutter, found, count, last_id = EventSplitter(after), b"", 0, None
+        bounds = [
+            0,
+            *sorted(data.draw(st.one_of(random_ends, st.just(ends)))),
+            len(stream),
+        ]
+        splitter, found, count, last_id = EventSplitter(after), b"", 0, None
         for start, end in zip(bounds, bounds[1:], strict=False):
-            whole = cutter.feed(stream[start:end])
-            found, count = found + whole.data, count + whole.count
-            last_id = last_id if whole.last_id is None else whole.last_id
+            part = splitter.feed(stream[start:end])
+            found, count = found + part.data, count + part.count
+            last_id = last_id if part.last_id is None else part.last_id
         expected = events_of(stream, int(after or 0))
-        assert (found, count, last_id, cutter.rest) == expected, (stream, bounds)
+        assert (found, count, last_id, splitter.rest) == expected, (stream, bounds)
 
-    agree()
+    check_split()
--- a/features/wire/steps/h11_reading.py
+++ b/features/wire/steps/h11_reference.py
@@ -1,20 +1,20 @@
-"""What h11 makes of the same bytes: the reference for the parser in use."""
+"""Parsing with h11, the reference for the parser in use."""
 
 import h11
 
 HEAD_BYTES, BODY_BYTES = 16384, 1000
 
 
-def pieces_of(data, cuts):
-    bounds = [0, *sorted(cuts), len(data)]
+def split_at(data, splits):
+    bounds = [0, *sorted(splits), len(data)]
     pairs = zip(bounds, bounds[1:], strict=False)
     return [data[a:b] for a, b in pairs if a < b]
 
 
-def read_requests(data, cuts):
-    """Return the requests that are read and the last status of a refusal, if any."""
+def read_requests(data, splits):
+    """Return the parsed requests and the status of a rejection, if any."""
     connection = h11.Connection(h11.SERVER, HEAD_BYTES)
-    pieces, requests, body = iter([*pieces_of(data, cuts), b""]), [], b""
+    pieces, requests, body = iter([*split_at(data, splits), b""]), [], b""
     while True:
         try:
             event = connection.next_event()
@@ -44,27 +44,30 @@
 
 
 def read_response(data, end):
-    """Return what becomes of the connection, and the body."""
+    """Return the outcome for the connection, and the body."""
     connection = new_client()
     connection.receive_data(data)
-    ends = [b""] if end == "ends" else []
+    ends = [b""] if end == "closes" else []
     try:
-        mine, body, keeps = read_one(connection, ends)
-        while not mine:
+        is_own, body, is_kept = read_one_response(connection, ends)
+        while not is_own:
             rest = connection.trailing_data[0]
             connection = new_client()
             if rest:
                 connection.receive_data(rest)
-            mine, body, keeps = read_one(connection, ends)
+            is_own, body, is_kept = read_one_response(connection, ends)
     except h11.RemoteProtocolError:
         return "broken", b""
     except EOFError:
-        return ("waits" if end == "stays" else "broken"), b""
-    return ("kept" if keeps and end == "stays" else "closed"), body
+        return ("pending" if end == "stays open" else "broken"), b""
+    return ("kept" if is_kept and end == "stays open" else "closed"), body
 
 
-def read_one(connection, ends):
-    """Return whether one whole answer is mine, its body, and if it ends cleanly."""
+def read_one_response(connection, ends):
+    """Read one response.
+
+    Returns whether it belongs to the request, its body, and if it ends cleanly.
+    """
     body = b""
     while True:
         event = connection.next_event()
@@ -73,12 +76,12 @@
                 raise EOFError
             connection.receive_data(ends.pop())
         elif isinstance(event, h11.Response):
-            mine = dict(event.headers).get(b"request-id", b"mine") == b"mine"
+            is_own = dict(event.headers).get(b"request-id", b"mine") == b"mine"
         elif isinstance(event, h11.Data):
             body += event.data
         elif isinstance(event, h11.EndOfMessage):
             is_clean = not connection.trailing_data[0]
-            return mine, body, connection.their_state is h11.DONE and is_clean
+            return is_own, body, connection.their_state is h11.DONE and is_clean
         elif isinstance(event, h11.ConnectionClosed):
             raise EOFError
 
--- a/features/wire/steps/wire_steps.py
+++ b/features/wire/steps/wire_steps.py
@@ -3,17 +3,17 @@
 
 import anyio
 from behave import then, when
-from h11_reading import pieces_of, read_requests, read_response
+from h11_reference import read_requests, read_response, split_at
 from wire_cases import REQUESTS, RESPONSES
-from wire_play import (
+from wire_exchanges import (
     SETTLE_S,
-    Face,
-    play_all,
+    RecordingServer,
+    exchange_all,
+    parse_statuses,
     read_all,
     reset,
     run,
     send_pieces,
-    statuses_of,
 )
 
 from knapweedbridge_daemon.serving.http_client import (
@@ -23,51 +23,51 @@
 )
 from knapweedbridge_daemon.serving.wire import RequestHead, get_header
 
-ANSWER_S = 1.0
+RESPONSE_TIMEOUT_S = 1.0
 
 
-async def play_request(data, cuts):
-    """Send bytes in pieces; return the statuses answered and the requests read."""
-    face = Face()
+async def exchange_request(data, splits):
+    """Send bytes in pieces; return the statuses received and the requests parsed."""
+    server = RecordingServer()
     async with anyio.create_task_group() as tasks:
-        port = await face.start(tasks)
+        port = await server.start(tasks)
         async with await anyio.connect_tcp("127.0.0.1", port) as stream:
             with suppress(anyio.BrokenResourceError):
-                await send_pieces(stream, pieces_of(data, cuts))
-            got = await read_all(stream)
+                await send_pieces(stream, split_at(data, splits))
+            received = await read_all(stream)
         tasks.cancel_scope.cancel()
-    assert not face.faults, face.faults
+    assert not server.errors, server.errors
     read = [
         (each.head.method, each.head.target, each.head.headers, each.body)
-        for each in face.requests
+        for each in server.requests
     ]
-    return statuses_of(got), read
+    return parse_statuses(received), read
 
 
 @functools.cache
 def request_outcomes():
-    return run(play_all, REQUESTS, play_request)
+    return run(exchange_all, REQUESTS, exchange_request)
 
 
-@when("a caller sends {what}, whole and in pieces")
+@when("a caller sends {what}, at once and in pieces")
 def caller_sends(context, what):
     context.what = what
     context.found = request_outcomes()[what]
 
 
-@then("each time it is answered {answers}")
-def answered_each_time(context, answers):
-    wrong = [statuses for statuses, _ in context.found if statuses != answers]
+@then("the server always responds with {statuses}")
+def always_responds(context, statuses):
+    wrong = [found for found, _ in context.found if found != statuses]
     assert not wrong, wrong
 
 
-@then("h11 alone answers {by_h11}, and reads the same where both take it")
-def as_h11(context, by_h11):
+@then("h11 responds with {by_h11} and parses the same if both accept it")
+def responds_like_h11(context, by_h11):
     requests, refusal = read_requests(REQUESTS[context.what], [])
     statuses = ["200"] * len(requests) + ([str(refusal)] if refusal else [])
     assert (" ".join(statuses) or "none") == by_h11, statuses
-    for answers, read in context.found:
-        if [each for each in answers.split() if each != "100"] == statuses:
+    for received, read in context.found:
+        if [each for each in received.split() if each != "100"] == statuses:
             assert read == requests, (read, requests)
 
 
@@ -76,73 +76,73 @@
     await read_all(stream)
 
 
-ENDS = {"ends": end_writing, "is reset": reset, "stays": read_all}
+ENDS = {"closes": end_writing, "is reset": reset, "stays open": read_all}
 
 
-async def play_response(data, cuts, end):
-    """Answer a request with bytes in pieces; return what the client makes of it."""
+async def exchange_response(data, splits, end):
+    """Respond with bytes in pieces; return the outcome for the client."""
 
     async def serve(stream):
         async with stream:
             await stream.receive()
-            await send_pieces(stream, pieces_of(data, cuts))
+            await send_pieces(stream, split_at(data, splits))
             await ENDS[end](stream)
 
     async with anyio.create_task_group() as tasks:
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
         port = listener.extra(anyio.abc.SocketAttribute.local_port)
         tasks.start_soon(listener.serve, serve)
-        outcome = await ask(f"127.0.0.1:{port}")
+        outcome = await send_request(f"127.0.0.1:{port}")
         tasks.cancel_scope.cancel()
     return outcome
 
 
-async def ask(address):
+async def send_request(address):
     pool = ConnectionPool()
     head = RequestHead(b"GET", b"/", [(b"Host", b"h")])
     body = b""
     try:
-        with anyio.fail_after(ANSWER_S):
+        with anyio.fail_after(RESPONSE_TIMEOUT_S):
             async with pool.connection(Destination(address)) as connection:
-                await connection.exchange(head, b"", is_mine)
+                await connection.exchange(head, b"", is_own_response)
                 async for part in connection.read_body():
                     body += part
                 await anyio.sleep(SETTLE_S)
-                keeps = connection.end_exchange(anyio.current_time())
+                is_kept = connection.end_exchange(anyio.current_time())
     except ConnectionBrokenError:
         return "broken", body
     except TimeoutError:
-        return "waits", body
+        return "pending", body
     await pool.aclose()
-    return "kept" if keeps else "closed", body
+    return "kept" if is_kept else "closed", body
 
 
-def is_mine(headers):
+def is_own_response(headers):
     return get_header(headers, b"request-id") in (None, "mine")
 
 
 @functools.cache
 def response_outcomes(end):
-    play = functools.partial(play_response, end=end)
-    return run(play_all, RESPONSES, play)
+    exchange = functools.partial(exchange_response, end=end)
+    return run(exchange_all, RESPONSES, exchange)
 
 
-@when("an endpoint answers with {what}, whole and in pieces, and then {end}")
+@when("an endpoint responds with {what}, at once and in pieces, and then {end}")
 def endpoint_answers(context, what, end):
     context.what, context.end = what, end
     context.found = response_outcomes(end)[what]
 
 
-@then("each time the connection is found {kept}")
-def connection_is(context, kept):
-    wrong = [each for each in context.found if each[0] != kept]
+@then("the connection is always {outcome}")
+def connection_is(context, outcome):
+    wrong = [each for each in context.found if each[0] != outcome]
     assert not wrong, wrong
 
 
-@then("h11 alone finds it {kept}, and reads the same where both take it")
-def h11_finds(context, kept):
+@then("with h11 it is {by_h11}, and the body is the same if both accept it")
+def with_h11(context, by_h11):
     found, expected = read_response(RESPONSES[context.what], context.end)
-    assert found == kept, found
+    assert found == by_h11, found
     for outcome, body in context.found:
         if outcome == found and outcome in ("kept", "closed"):
             assert body == expected, (body, expected)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/admin_handlers.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/admin_handlers.py
@@ -1,4 +1,4 @@
-"""Small faces beside the callers': readiness for the balancer, and metrics."""
+"""Handlers for the load balancer's readiness check and for metrics."""
 
 import anyio
 
@@ -8,12 +8,12 @@
 
 
 class AdminHandlers:
-    """Answers the balancer's question, and serves counters.
+    """Serves the readiness and the metrics of a daemon.
 
     Parameters
     ----------
     hub : Hub
-        What is told of.
+        State of the daemon.
     """
 
     def __init__(self, hub: Hub) -> None:
@@ -21,25 +21,25 @@
 
     @staticmethod
     def limits() -> RequestLimits:
-        """Return the bounds on what is asked here."""
+        """Return the limits of requests to these handlers."""
         return RequestLimits()
 
     async def ready(self, request: ReceivedRequest, responder: Responder) -> None:
-        """Tell whether callers may be sent here."""
+        """Respond to a readiness check of the load balancer."""
         if request.head.path != self._hub.dialects.callers.ready_path:
             await responder.answer(404, [], b"")
             return
         await responder.answer(200 if self._hub.ready else 503, [], b"")
 
     async def metrics(self, request: ReceivedRequest, responder: Responder) -> None:
-        """Serve all counters and histograms."""
+        """Serve all metrics in the Prometheus text format."""
         self._hub.metrics.gauges.update(self.gauges())
-        kind = (b"Content-Type", b"text/plain; version=0.0.4")
+        content_type = (b"Content-Type", b"text/plain; version=0.0.4")
         body = await anyio.to_thread.run_sync(self._hub.metrics.render)
-        await responder.answer(200, [kind], body)
+        await responder.answer(200, [content_type], body)
 
     def gauges(self) -> dict[str, float]:
-        """Return the levels that are read when they are asked for, by name."""
+        """Return the values of the gauges that are computed per request, by name."""
         hub = self._hub
         deployment = hub.cluster.deployment
         return {
--- a/packages/daemon/src/knapweedbridge_daemon/serving/byte_stream.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/byte_stream.py
@@ -1,7 +1,7 @@
-"""TCP connections as the HTTP code reads and writes them.
+"""TCP streams for the HTTP server and client.
 
-An `asyncio.Protocol` takes the bytes where the event loop has them: a read that finds
-bytes, and a write that the kernel takes whole, cost no turn of the event loop.
+They are based on `asyncio.Protocol`: a read of bytes that have already arrived and a
+write that the kernel accepts at once need no iteration of the event loop.
 """
 
 import asyncio
@@ -17,14 +17,14 @@
 
 from knapweedbridge_daemon.serving.client_streams import ClientStream
 
-HELD_BYTES = 65536
-"""Bytes that wait to be read, beyond which the connection is not read further."""
+MAX_UNREAD_BYTES = 65536
+"""Unread bytes beyond which reading from the connection is paused."""
 
 KEEPALIVE_IDLE_S = 1
 KEEPALIVE_PROBES = 2
-UNACKED_MS = 2500
-"""A connection that something between the two ends lost track of shows no error by
-itself: probes and this bound on unacknowledged bytes end it in about 3 s."""
+USER_TIMEOUT_MS = 2500
+"""A connection whose state was lost by a device on the path shows no error by itself.
+Keepalive probes and this timeout for unacknowledged bytes close it in about 3 s."""
 
 SOCKET_OPTIONS = (
     (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
@@ -32,14 +32,14 @@
     (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S),
     (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, 1),
     (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES),
-    (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKED_MS),
+    (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS),
 )
 
 
 def set_socket_options(raw: Any) -> None:
-    """Have the system end a connection that something between its ends has lost."""
+    """Disable Nagle's algorithm and let the kernel close dead connections."""
     if raw is None:
-        # The connection is gone already.
+        # The connection is already closed.
         return
     for level, option, value in SOCKET_OPTIONS:
         with suppress(OSError):
@@ -50,79 +50,85 @@
 
 
 class ByteStream(asyncio.Protocol, ClientStream):
-    """One TCP connection, read by one task and written by one task."""
+    """TCP connection with one reading and one writing task.
+
+    Attributes
+    ----------
+    on_end : callable or None
+        Called when the other side sends no more, or the connection is lost.
+    """
 
     def __init__(self) -> None:
         self.on_end: Callable[[], Any] | None = None
         self._transport: asyncio.Transport
         self._loop = asyncio.get_running_loop()
         self._chunks: deque[bytes] = deque()
-        self._held_bytes = 0
+        self._unread_bytes = 0
         self._has_eof = False
         self._is_lost = False
         self._error: Exception | None = None
         self._is_reading = True
         self._is_writable = True
-        self._read: asyncio.Future[None] | None = None
-        self._written: asyncio.Future[None] | None = None
+        self._read_waiter: asyncio.Future[None] | None = None
+        self._write_waiter: asyncio.Future[None] | None = None
         self._deadline_s = math.inf
         self._timer: asyncio.TimerHandle | None = None
 
     @classmethod
     def from_anyio(cls, stream: SocketStream) -> "ByteStream":
-        """Return a stream that has the connection of an accepted anyio stream.
+        """Return a stream that takes over the connection of an accepted anyio stream.
 
-        The transport has no public name there; the version of anyio is pinned.
+        anyio does not expose the transport publicly; its version is pinned.
         """
         transport = cast(Any, stream)._transport
-        before = cast(Any, stream)._protocol
-        own = cls()
-        own.connection_made(transport)
-        transport.set_protocol(own)
-        for chunk in before.read_queue:
-            own.data_received(chunk)
-        if before.is_at_eof:
-            own.eof_received()
-        if before.exception is not None or transport.is_closing():
-            own.connection_lost(before.exception)
-        return own
+        previous = cast(Any, stream)._protocol
+        taken_over = cls()
+        taken_over.connection_made(transport)
+        transport.set_protocol(taken_over)
+        for chunk in previous.read_queue:
+            taken_over.data_received(chunk)
+        if previous.is_at_eof:
+            taken_over.eof_received()
+        if previous.exception is not None or transport.is_closing():
+            taken_over.connection_lost(previous.exception)
+        return taken_over
 
     @property
     def peer_host(self) -> str:
-        """Network address of the other end; empty where the connection is gone."""
+        """Network address of the peer; empty if the connection is closed."""
         name = self._transport.get_extra_info("peername")
         return str(name[0]) if name else ""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """See `asyncio.BaseProtocol`."""
         self._transport = cast(asyncio.Transport, transport)
-        # Writers wait until the kernel has all bytes: what a slow reader does not
-        # take is held once, and its source is not read further.
+        # Writers wait until the kernel has accepted all bytes. What a slow reader does
+        # not read is buffered only once, and its source is not read further.
         self._transport.set_write_buffer_limits(0)
         set_socket_options(self._transport.get_extra_info("socket"))
 
     def data_received(self, data: bytes) -> None:
         """See `asyncio.Protocol`."""
         self._chunks.append(data)
-        self._held_bytes += len(data)
-        if self._held_bytes > HELD_BYTES and self._is_reading:
+        self._unread_bytes += len(data)
+        if self._unread_bytes > MAX_UNREAD_BYTES and self._is_reading:
             self._is_reading = False
             self._transport.pause_reading()
         self._wake_reader()
 
     def eof_received(self) -> bool:
-        """See `asyncio.Protocol`; the other direction stays open."""
+        """See `asyncio.Protocol`; the connection stays open for writing."""
         self._has_eof = True
-        self._tell_end()
+        self._notify_end()
         return True
 
     def connection_lost(self, exc: Exception | None) -> None:
         """See `asyncio.BaseProtocol`."""
         self._is_lost = True
         self._error = exc
-        self._drop_timer()
+        self._cancel_timer()
         self.resume_writing()
-        self._tell_end()
+        self._notify_end()
 
     def pause_writing(self) -> None:
         """See `asyncio.BaseProtocol`."""
@@ -131,26 +137,26 @@
     def resume_writing(self) -> None:
         """See `asyncio.BaseProtocol`."""
         self._is_writable = True
-        if self._written is not None and not self._written.done():
-            self._written.set_result(None)
+        if self._write_waiter is not None and not self._write_waiter.done():
+            self._write_waiter.set_result(None)
 
     def _wake_reader(self) -> None:
-        if self._read is not None and not self._read.done():
-            self._read.set_result(None)
+        if self._read_waiter is not None and not self._read_waiter.done():
+            self._read_waiter.set_result(None)
 
-    def _tell_end(self) -> None:
+    def _notify_end(self) -> None:
         self._wake_reader()
         if self.on_end is not None:
             self.on_end()
 
     @property
     def has_ended(self) -> bool:
-        """Whether the other side sends no more, or the connection is gone."""
+        """Whether the other side sends no more, or the connection is lost."""
         return self._has_eof or self._is_lost
 
     @property
     def has_news(self) -> bool:
-        """Whether bytes or an end wait to be read."""
+        """Whether bytes or the end of the stream are waiting to be read."""
         return bool(self._chunks) or self.has_ended
 
     def fileno(self) -> int:
@@ -158,48 +164,48 @@
         return int(self._transport.get_extra_info("socket").fileno())
 
     async def receive(self) -> bytes:
-        """Return all bytes that came; none are returned at an orderly end.
+        """Return all bytes received, or empty bytes at an orderly end.
 
         Raises
         ------
         ConnectionError
-            If the connection ended otherwise.
+            If the connection was lost.
         """
         while not self._chunks:
             if self._has_eof:
                 return b""
             if self._is_lost:
-                raise self._broken()
-            self._read = self._loop.create_future()
+                raise self._connection_error()
+            self._read_waiter = self._loop.create_future()
             try:
-                await self._read
+                await self._read_waiter
             finally:
-                self._read = None
-        return self._take()
+                self._read_waiter = None
+        return self._drain()
 
-    def _take(self) -> bytes:
+    def _drain(self) -> bytes:
         chunks = self._chunks
         taken = chunks[0] if len(chunks) == 1 else b"".join(chunks)
         chunks.clear()
-        self._held_bytes = 0
+        self._unread_bytes = 0
         if not self._is_reading and not self.has_ended:
             self._is_reading = True
             self._transport.resume_reading()
         return taken
 
     async def receive_by(self, deadline_s: float) -> bytes:
-        """Receive as `receive` does, until a time on the event loop's clock.
+        """Receive like `receive`, until a deadline on the event loop's clock.
 
         Raises
         ------
         TimeoutError
-            If nothing came by then.
+            If nothing was received by then.
         """
         if self._chunks:
-            return self._take()
+            return self._drain()
         self._deadline_s = deadline_s
         if self._timer is not None and self._timer.when() > deadline_s:
-            self._drop_timer()
+            self._cancel_timer()
         if self._timer is None and not self._is_lost:
             self._timer = self._loop.call_at(deadline_s, self._expire)
         try:
@@ -208,67 +214,67 @@
             self._deadline_s = math.inf
 
     def _expire(self) -> None:
-        # One timer serves all reads of the connection. It is not moved at each of
-        # them; when it is due, it is set again for the read that waits by then.
+        # One timer serves all reads of the connection. It is not rescheduled by each
+        # read; when it fires, it is set again for the read that is waiting by then.
         self._timer = None
         if self._deadline_s == math.inf:
             return
         if self._loop.time() < self._deadline_s:
             self._timer = self._loop.call_at(self._deadline_s, self._expire)
-        elif self._read is not None and not self._read.done():
-            self._read.set_exception(TimeoutError())
+        elif self._read_waiter is not None and not self._read_waiter.done():
+            self._read_waiter.set_exception(TimeoutError())
 
-    def _drop_timer(self) -> None:
+    def _cancel_timer(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
     def end_reading(self) -> None:
-        """Let the reader find an end, as if the other side sent no more."""
+        """Signal an end to the reader, as if the other side sent no more."""
         self._has_eof = True
         self._wake_reader()
 
     async def send(self, data: bytes) -> None:
-        """Write bytes, and wait until the kernel has them.
+        """Write bytes and wait until the kernel has accepted them.
 
         Raises
         ------
         ConnectionError
-            If the connection is gone.
+            If the connection is closed.
         """
         if not self._is_writable:
-            await self._wait_written()
+            await self._await_writable()
         if self._is_lost or self._transport.is_closing():
-            raise self._broken()
+            raise self._connection_error()
         self._transport.write(data)
         if not self._is_writable:
-            await self._wait_written()
+            await self._await_writable()
         if self._is_lost or self._transport.is_closing():
-            raise self._broken()
+            raise self._connection_error()
 
-    async def _wait_written(self) -> None:
-        self._written = self._loop.create_future()
+    async def _await_writable(self) -> None:
+        self._write_waiter = self._loop.create_future()
         try:
-            await self._written
+            await self._write_waiter
         finally:
-            self._written = None
+            self._write_waiter = None
 
-    def _broken(self) -> ConnectionError:
+    def _connection_error(self) -> ConnectionError:
         return ConnectionError(repr(self._error) if self._error else "closed")
 
     def send_eof(self) -> None:
-        """End the direction that is written."""
+        """Close the connection for writing."""
         if not self._transport.is_closing():
             with suppress(OSError):
                 self._transport.write_eof()
 
     def close(self) -> None:
-        """Close the connection; what it still carried is lost."""
-        self._drop_timer()
+        """Close the connection and discard unsent data."""
+        self._cancel_timer()
         self._transport.abort()
 
     def reset(self) -> None:
-        """Close the connection so that the other side sees an error, not an end."""
+        """Close the connection so that the peer sees a reset, not an orderly end."""
         raw = self._transport.get_extra_info("socket")
         with suppress(OSError):
             raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
@@ -276,7 +282,13 @@
 
 
 async def connect_stream(ip: str, port: int) -> ByteStream:
-    """Open a connection; raises OSError where that fails."""
+    """Open a connection.
+
+    Raises
+    ------
+    OSError
+        If this fails.
+    """
     loop = asyncio.get_running_loop()
     _, stream = await loop.create_connection(ByteStream, ip, port)
     return stream
--- a/packages/daemon/src/knapweedbridge_daemon/serving/client_connection.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/client_connection.py
@@ -1,8 +1,9 @@
-"""One connection to an HTTP/1.1 server, under the forwarding code's own control.
+"""Client side of one connection to an HTTP/1.1 server.
 
-A client library hides what decides here whether a call may be sent again: if any
-byte of it was written, whether an answer belongs to it, and whether a body without a
-length ended or was reset. So this speaks by httptools over the event loop's transports.
+HTTP client libraries hide what decides whether a call may be retried: whether any byte
+of the request was written, whether a response belongs to it, and whether a body without
+a length ended or was reset. This client therefore uses httptools directly on the
+transports of the event loop.
 """
 
 import re
@@ -34,32 +35,33 @@
     get_header,
 )
 
-IDLE_DEFAULT_S = 4.0
-"""Idle life of a kept connection whose server names none."""
+DEFAULT_KEEP_ALIVE_S = 4.0
+"""Keep-alive timeout of servers that do not announce one."""
 
-IDLE_SHARE = 0.6
-"""Share of the server's idle time-out that a connection is kept for: a request must
-not cross the server's close, after which nobody can tell whether it was run."""
+KEEP_ALIVE_SHARE = 0.6
+"""Share of the server's keep-alive timeout for which an idle connection is kept. If a
+request crosses the server's close, it is unknown whether the request was run."""
 
-MOST_HEAD_BYTES = 65536
-BUFFERED_BYTES = 65536
-"""What is written at once: the event loop buffers as much without waiting for the
-server. Only longer requests are written while their answer is read."""
+MAX_HEAD_BYTES = 65536
+MAX_BUFFERED_BYTES = 65536
+"""Size up to which a request is written before its response is read. The event loop
+buffers this much without waiting for the server."""
 
-SWITCHING_STATUS = 101
+SWITCHING_PROTOCOLS = 101
 
 _TIMEOUT = re.compile(r"timeout=(\d+)")
 
-Belongs = Callable[[Headers], bool]
+ResponseFilter = Callable[[Headers], bool]
+"""Returns whether the headers are those of the response to the request."""
 
 
 class NotSentError(DaemonError):
-    """No byte of the request was written: it cannot have run.
+    """Raised if no byte of the request was written, so that it cannot have run.
 
     Attributes
     ----------
     is_lost : bool
-        Whether the endpoint is gone, as far as can be told from this host.
+        Whether the endpoint is gone, as far as this host can determine.
     """
 
     def __init__(self, message: str, is_lost: bool = True) -> None:
@@ -68,18 +70,27 @@
 
 
 class ConnectionBrokenError(DaemonError):
-    """The connection broke, or what came is no answer; the request may have run."""
+    """Raised if the connection or the response broke; the request may have run."""
 
 
 class ClientConnection:
-    """One connection to a server, for one request at a time.
+    """Connection to a server for one request at a time.
 
     Parameters
     ----------
     stream : ClientStream
-        The connection, which this owns.
+        Underlying connection, which is closed with this one.
     address : str
-        Where it leads.
+        IP address and port of the server.
+
+    Attributes
+    ----------
+    forwarder : str
+        Host that tunnels the connection; empty if it is direct.
+    requests : int
+        Number of requests written.
+    idle_until_s : float
+        Time at which the idle connection expires, on the event loop's clock.
     """
 
     def __init__(self, stream: ClientStream, address: str) -> None:
@@ -91,74 +102,86 @@
         self._method = b""
         self._unread = b""
         self._body: BodyDecoder = LengthBody(0)
-        self._keep_s = IDLE_DEFAULT_S
-        self._sent_whole = False
-        self._keeps = True
+        self._keep_alive_s = DEFAULT_KEEP_ALIVE_S
+        self._is_sent = False
+        self._is_persistent = True
 
     async def exchange(
-        self, head: RequestHead, body: bytes, belongs: Belongs
+        self, head: RequestHead, body: bytes, is_response: ResponseFilter
     ) -> ResponseHead:
-        """Write a request, and read the head of its answer.
+        """Send a request and read the head of its response.
+
+        Parameters
+        ----------
+        head, body : RequestHead, bytes
+            Request to send.
+        is_response : callable
+            Returns whether a response with given headers belongs to the request.
 
         Raises
         ------
         NotSentError
-            If it cannot be written as a request.
+            If the request cannot be encoded.
         ConnectionBrokenError
-            If the connection broke without an answer; part of the request may have
+            If the connection broke before a response; part of the request may have
             been written.
         """
         try:
             packed = pack_request(head, body)
         except HeadError as error:
             raise NotSentError(f"{self.address}: {error}") from error
-        # A write is not a turn of the event loop: a call whose time is over, or whose
-        # caller has left, must not be sent by it.
+        # A write does not yield to the event loop, so calls that have timed out or
+        # whose caller has disconnected must be cancelled before it.
         await checkpoint_if_cancelled()
         self.requests += 1
         self._method = head.method
-        self._sent_whole = False
-        if len(packed) > BUFFERED_BYTES:
-            return await self._exchange_long(packed, belongs)
+        self._is_sent = False
+        if len(packed) > MAX_BUFFERED_BYTES:
+            return await self._exchange_long(packed, is_response)
         await self._write(packed)
-        self._sent_whole = True
-        return await self._read_head(belongs)
-
-    async def _exchange_long(self, packed: bytes, belongs: Belongs) -> ResponseHead:
-        # A server may refuse a long body before it has read it, and close. The write
-        # then breaks, and what was not read by then is lost: the answer that proves
-        # that the call was not run. So it is read while the body is written. Where
-        # the connection is kept, the server still reads the rest as a body.
-        answer: ResponseHead | None = None
+        self._is_sent = True
+        return await self._read_head(is_response)
+
+    async def _exchange_long(
+        self, packed: bytes, is_response: ResponseFilter
+    ) -> ResponseHead:
+        # A server may reject a long body before it has read it, and close the
+        # connection. The write then fails and unread bytes are lost, among them the
+        # response that proves that the call was not run. The response is therefore
+        # read while the body is written. If the connection stays open, the server
+        # still reads the rest of the body.
+        response: ResponseHead | None = None
         broken: ConnectionBrokenError | None = None
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._write_long, packed)
             try:
-                answer = await self._read_head(belongs)
+                response = await self._read_head(is_response)
             except ConnectionBrokenError as error:
                 broken = error
-            if broken or not self._keeps:
+            if broken or not self._is_persistent:
                 tasks.cancel_scope.cancel()
-        if answer is None:
-            raise broken or ConnectionBrokenError(f"{self.address}: no answer")
-        return answer
+        if response is None:
+            raise broken or ConnectionBrokenError(
+                f"{self.address}: connection ended without a response"
+            )
+        return response
 
     async def _write_long(self, packed: bytes) -> None:
         try:
             await self._write(packed)
         except ConnectionBrokenError:
-            # Whether an answer came before, the reader tells.
-            self._keeps = False
+            # The reader determines whether a response arrived before.
+            self._is_persistent = False
             return
-        self._sent_whole = True
+        self._is_sent = True
 
     async def call(self, request: WireRequest) -> tuple[ResponseHead, bytes]:
-        """Exchange a request of our own, and read the whole answer.
+        """Send a request of this daemon and read the complete response.
 
         Raises
         ------
         ConnectionBrokenError
-            If the connection broke before the answer's end.
+            If the connection broke before the end of the response.
         """
         head = await self.exchange(request.head, request.body, lambda headers: True)
         parts = [part async for part in self.read_body()]
@@ -176,64 +199,68 @@
         except OSError as error:
             raise ConnectionBrokenError(f"{self.address}: {error!r}") from error
 
-    async def _read_head(self, belongs: Belongs) -> ResponseHead:
-        """Read the head of the answer to the request that was sent.
+    async def _read_head(self, is_response: ResponseFilter) -> ResponseHead:
+        """Read the head of the response to the request that was sent.
 
-        A server may answer an earlier request a second time, where this one's answer
-        is due; such an answer is read to its end and dropped.
+        A server may respond to an earlier request a second time before it responds to
+        this one; such a response is read to its end and discarded.
         """
         while True:
-            head = await self._next_head()
-            if belongs(head.headers):
+            head = await self._read_final_head()
+            if is_response(head.headers):
                 return head
             async for _ in self.read_body():
                 pass
 
-    async def _next_head(self) -> ResponseHead:
+    async def _read_final_head(self) -> ResponseHead:
         while True:
-            block = await self._head_block()
+            block = await self._read_head_block()
             try:
                 head, framing = read_response_head(block)
             except HeadError as error:
                 raise ConnectionBrokenError(f"{self.address}: {error}") from error
-            if head.status == SWITCHING_STATUS:
-                raise ConnectionBrokenError(f"{self.address}: changed its protocol")
+            if head.status == SWITCHING_PROTOCOLS:
+                raise ConnectionBrokenError(
+                    f"{self.address}: unexpected protocol switch"
+                )
             if head.status < 200:
                 continue
-            self._keeps = self._keeps and not framing.closes
+            self._is_persistent = self._is_persistent and not framing.closes
             self._body = response_body(self._method, head.status, framing)
-            self._note_keeping(head.headers)
+            self._update_keep_alive(head.headers)
             return head
 
-    async def _head_block(self) -> bytes:
+    async def _read_head_block(self) -> bytes:
         searched = 0
         while True:
             end = self._unread.find(END_OF_HEAD, searched)
             if end >= 0:
                 break
-            if len(self._unread) > MOST_HEAD_BYTES:
-                raise ConnectionBrokenError(f"{self.address}: a head without an end")
+            if len(self._unread) > MAX_HEAD_BYTES:
+                raise ConnectionBrokenError(f"{self.address}: response head too large")
             searched = max(0, len(self._unread) - len(END_OF_HEAD) + 1)
             chunk = await self._receive()
             if not chunk:
-                raise ConnectionBrokenError(f"{self.address}: closed before its answer")
+                raise ConnectionBrokenError(
+                    f"{self.address}: closed before the response"
+                )
             self._unread += chunk
         end += len(END_OF_HEAD)
         block, self._unread = self._unread[:end], self._unread[end:]
         return block
 
-    def _note_keeping(self, headers: Headers) -> None:
-        named = get_header(headers, b"keep-alive")
-        found = _TIMEOUT.search(named) if named else None
-        self._keep_s = float(found[1]) if found else IDLE_DEFAULT_S
+    def _update_keep_alive(self, headers: Headers) -> None:
+        keep_alive = get_header(headers, b"keep-alive")
+        found = _TIMEOUT.search(keep_alive) if keep_alive else None
+        self._keep_alive_s = float(found[1]) if found else DEFAULT_KEEP_ALIVE_S
 
     async def read_body(self) -> AsyncGenerator[bytes, None]:
-        """Yield the answer's body as it comes, to its proved end.
+        """Yield the parts of the response body until its end is certain.
 
         Raises
         ------
         ConnectionBrokenError
-            If it was cut before its end.
+            If the body is truncated.
         """
         body = self._body
         while not body.is_complete:
@@ -241,7 +268,7 @@
             if not data:
                 data = await self._receive()
             if not data:
-                self._end_body(body)
+                self._finish_body(body)
                 return
             part = self._decode(body, data)
             if part:
@@ -253,36 +280,38 @@
         except BodyError as error:
             raise ConnectionBrokenError(f"{self.address}: {error}") from error
         if body.is_complete:
-            # Another answer, or bytes that belong to none.
+            # Another response, or bytes that belong to none.
             self._unread = body.rest
         return part
 
-    def _end_body(self, body: BodyDecoder) -> None:
+    def _finish_body(self, body: BodyDecoder) -> None:
         try:
             body.end()
         except BodyError as error:
-            raise ConnectionBrokenError(f"{self.address}: cut in its answer") from error
-        self._keeps = False
+            raise ConnectionBrokenError(
+                f"{self.address}: truncated response"
+            ) from error
+        self._is_persistent = False
 
     def end_exchange(self, now_s: float) -> bool:
-        """Make ready for the next request; False where it must be closed.
+        """Prepare for the next request; return False if the connection must be closed.
 
-        Bytes that follow a whole answer belong to no request, so a connection with
-        such bytes is not used again.
+        Bytes that follow a complete response belong to no request, so a connection
+        that has received such bytes is not reused.
         """
-        clean = not (self._unread or self._stream.has_news)
-        whole = self._body.is_complete and self._sent_whole
-        if not (clean and whole and self._keeps):
+        is_clean = not (self._unread or self._stream.has_news)
+        is_complete = self._body.is_complete and self._is_sent
+        if not (is_clean and is_complete and self._is_persistent):
             return False
-        self.idle_until_s = now_s + IDLE_SHARE * self._keep_s
+        self.idle_until_s = now_s + KEEP_ALIVE_SHARE * self._keep_alive_s
         return True
 
-    def note_unused(self, now_s: float) -> None:
-        """Make ready for the first request later than now."""
-        self.idle_until_s = now_s + IDLE_SHARE * self._keep_s
+    def mark_unused(self, now_s: float) -> None:
+        """Start the idle timeout of a connection on which nothing was sent yet."""
+        self.idle_until_s = now_s + KEEP_ALIVE_SHARE * self._keep_alive_s
 
     def is_silent(self) -> bool:
-        """Tell whether an idle connection has neither ended nor sent bytes."""
+        """Return whether an idle connection has neither ended nor received bytes."""
         if self._stream.has_news:
             return False
         poll = select.poll()
@@ -293,5 +322,5 @@
         return not poll.poll(0)
 
     async def aclose(self) -> None:
-        """Close the connection; what it still carried is lost."""
+        """Close the connection and discard unsent data."""
         self._stream.close()
--- a/packages/daemon/src/knapweedbridge_daemon/serving/clock.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/clock.py
@@ -1,11 +1,11 @@
-"""The event loop's clock, read at little cost."""
+"""Fast access to the event loop's clock."""
 
 import asyncio
 
 
 def loop_time_s() -> float:
-    """Return what `anyio.current_time` returns, without its search for a backend.
+    """Return `anyio.current_time` without its lookup of the backend.
 
-    That search took 4% of a daemon's processor time.
+    The lookup took 4% of a daemon's processor time.
     """
     return asyncio.get_running_loop().time()
--- a/packages/daemon/src/knapweedbridge_daemon/serving/decision_log.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/decision_log.py
@@ -1,7 +1,8 @@
-"""Log lines of decisions: bounded, and never in the way of serving.
+"""Rate-limited, non-blocking log of decisions.
 
-Lines wait in memory for one writer. Where standard output takes none, they are
-dropped and counted; a kind of line that comes too often is thinned out and counted.
+Lines are queued in memory for one writer. If standard output blocks for too long, they
+are dropped and counted; kinds of lines that occur too often are rate-limited, and the
+dropped lines are counted.
 """
 
 import os
@@ -18,14 +19,14 @@
 from knapweedbridge_daemon.levels import Level
 from knapweedbridge_daemon.serving.clock import loop_time_s
 
-WAITING_LINES = 5000
+MAX_QUEUED_LINES = 5000
 WRITE_PERIOD_S = 0.1
-WRITE_BYTES = 65536
+MAX_BATCH_BYTES = 65536
 
 
 @dataclass(slots=True)
-class _Allowance:
-    """Lines of one kind in the present second."""
+class _RateWindow:
+    """Number of lines of one kind in the current second."""
 
     second: int = 0
     lines: int = 0
@@ -33,18 +34,23 @@
 
 
 class DecisionLog:
-    """Writes one JSON object a line to standard output.
+    """Writes one JSON object per line to standard output.
 
     Parameters
     ----------
     host : str
-        Name of this host, which every line carries.
+        Name of this host, which is part of every line.
     level : str
-        ``error``, ``info`` or ``debug``.
+        Lowest level that is written: ``error``, ``info`` or ``debug``.
     lines_per_s : float
-        Lines a second of one kind.
-    descriptor : int
-        Where to; standard output.
+        Maximum number of lines of one kind per second.
+    descriptor : int or None
+        File descriptor to write to; None for standard output.
+
+    Attributes
+    ----------
+    dropped : Counter
+        Number of dropped lines by kind.
     """
 
     def __init__(
@@ -55,38 +61,38 @@
         self._lines_per_s = lines_per_s
         self._descriptor = sys.stdout.fileno() if descriptor is None else descriptor
         self._lines: deque[bytes] = deque()
-        self._kinds: dict[str, _Allowance] = defaultdict(_Allowance)
+        self._windows: dict[str, _RateWindow] = defaultdict(_RateWindow)
         self._logger = Logger()
         self.dropped: Counter[str] = Counter()
-        self._blocked = b""
+        self._unwritten = b""
 
     def open(self) -> None:
-        """Take eliot's messages, and make the descriptor non-blocking."""
+        """Subscribe to eliot's messages and make the descriptor non-blocking."""
         os.set_blocking(self._descriptor, False)
-        add_destinations(self._take)
+        add_destinations(self._enqueue)
 
     def close(self) -> None:
-        """Write what can be written at once, and take no more."""
-        remove_destination(self._take)
+        """Unsubscribe from eliot and write the queued lines without blocking."""
+        remove_destination(self._enqueue)
         self._flush()
 
     def info(self, kind: str, **fields: Any) -> None:
-        """Write a decision, or a change of what is believed."""
+        """Log a decision or a change of the known state."""
         self._write(Level.INFO, kind, fields)
 
     def error(self, kind: str, **fields: Any) -> None:
-        """Write a failure."""
+        """Log a failure."""
         self._write(Level.ERROR, kind, fields)
 
     def debug(self, kind: str, **fields: Any) -> None:
-        """Write a step."""
+        """Log a step of an operation."""
         self._write(Level.DEBUG, kind, fields)
 
     def _write(self, level: Level, kind: str, fields: dict[str, Any]) -> None:
         if level < self._level:
             return
         now_s = loop_time_s()
-        if not self._allows(kind, now_s):
+        if not self._is_within_limit(kind, now_s):
             return
         self._logger.write(
             {
@@ -99,43 +105,44 @@
             }
         )
 
-    def _allows(self, kind: str, now_s: float) -> bool:
-        allowance = self._kinds[kind]
+    def _is_within_limit(self, kind: str, now_s: float) -> bool:
+        window = self._windows[kind]
         second = int(now_s)
-        if allowance.second != second:
-            allowance.second, allowance.lines = second, 0
-        allowance.lines += 1
-        if allowance.lines > self._lines_per_s:
+        if window.second != second:
+            window.second, window.lines = second, 0
+        window.lines += 1
+        if window.lines > self._lines_per_s:
             self.dropped[kind] += 1
             return False
         return True
 
-    def _take(self, message: dict[str, Any]) -> None:
-        if len(self._lines) >= WAITING_LINES:
+    def _enqueue(self, message: dict[str, Any]) -> None:
+        if len(self._lines) >= MAX_QUEUED_LINES:
             self.dropped[str(message.get("message_type"))] += 1
             return
         self._lines.append(orjson.dumps(message, default=str) + b"\n")
 
     async def run(self) -> None:
-        """Write the lines as they come, until cancelled."""
+        """Write queued lines until cancelled."""
         while True:
             self._flush()
             await anyio.sleep(WRITE_PERIOD_S)
 
     def _flush(self) -> None:
-        while self._blocked or self._lines:
-            batch = self._blocked
-            while self._lines and len(batch) < WRITE_BYTES:
+        while self._unwritten or self._lines:
+            batch = self._unwritten
+            while self._lines and len(batch) < MAX_BATCH_BYTES:
                 batch += self._lines.popleft()
             try:
                 written = os.write(self._descriptor, batch)
             except BlockingIOError:
                 written = 0
             except OSError:
-                # A closed output takes nothing ever again; serving goes on.
+                # A closed output stays closed; the lines are dropped and serving
+                # continues.
                 self.dropped["closed"] += batch.count(b"\n")
-                self._blocked = b""
+                self._unwritten = b""
                 return
-            self._blocked = batch[written:]
-            if self._blocked:
+            self._unwritten = batch[written:]
+            if self._unwritten:
                 return
--- a/packages/daemon/src/knapweedbridge_daemon/serving/dialects.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/dialects.py
@@ -1,8 +1,8 @@
-"""How callers, endpoints and the platform's store are spoken to.
+"""Interfaces for the protocols of callers, endpoints and the platform's store.
 
-A dialect turns names and formats on the wire into the product's own types, and back.
-It decides nothing. A package that implements these for one platform is named by the
-setting ``[serving] dialect`` and imported by that name.
+A dialect converts between the names and formats on the wire and the types of this
+project, without making decisions. The setting ``[serving] dialect`` names the package
+that implements the dialects of a platform; it is imported by that name.
 """
 
 import importlib
@@ -27,34 +27,34 @@
 
 
 class DialectError(DaemonError):
-    """What came cannot be read as what it should be."""
+    """Raised for data that cannot be decoded, or a missing dialect package."""
 
 
 @dataclass(slots=True, frozen=True)
 class CallDetails:
-    """What a caller says of its call, decoded.
+    """Decoded details of a call.
 
     Parameters
     ----------
     call_id : str
-        Id of this attempt of the caller; empty where it sent none.
+        Id of this attempt of the caller; empty if it sent none.
     deadline_s : float or None
-        How long the caller waits, in seconds from the call's arrival.
+        How long the caller waits, in seconds since the arrival of the call.
     model : ModelRef or None
-        Model that the call runs on; None for a plain service.
+        Model that the call is for; None for a plain service.
     prompt_tokens, output_tokens : int
-        Tokens of the prompt, and the most that are asked for.
+        Number of tokens in the prompt, and maximum number in the output.
     prompt_parts : tuple of (str, int)
-        Ids and tokens of the parts of the prompt, in order.
+        Ids and token counts of the parts of the prompt, in order.
     key_digest : str
-        Digest of the key that it shows; empty where it shows none that can be read.
+        Digest of the caller's key; empty if it sent no valid one.
     has_token_counts : bool
-        Whether it tells how many tokens it asks for.
+        Whether the call states its numbers of tokens.
     resumes : str
-        Id of the caller's attempt that brought the first event of the stream that this
-        one resumes; empty where it names none.
+        Id of the caller's attempt that delivered the first event of the stream that
+        this call resumes; empty if it names none.
     after_event : str or None
-        Id of the last event that the caller has of a stream; None: it has none.
+        Id of the last event of the stream that the caller has; None if it has none.
     """
 
     call_id: str = ""
@@ -70,17 +70,17 @@
 
     @property
     def is_resumed(self) -> bool:
-        """Whether its caller has had events of its stream by an earlier attempt."""
+        """Whether the caller received events of the stream in an earlier attempt."""
         return bool(self.resumes) or self.after_event is not None
 
     @property
     def stream_id(self) -> str:
-        """What its stream is known by over all attempts of its caller."""
+        """Id of the stream, the same in all attempts of the caller."""
         return self.resumes or self.call_id
 
     @property
     def tokens(self) -> int | None:
-        """Tokens of the prompt and the answer together; None: it tells none."""
+        """Tokens of prompt and output together; None if the call states none."""
         return (
             self.prompt_tokens + self.output_tokens if self.has_token_counts else None
         )
@@ -88,24 +88,25 @@
 
 @dataclass(slots=True, frozen=True)
 class AttemptDetails:
-    """What an endpoint is told of an attempt.
+    """Details of an attempt that are sent to its endpoint.
 
     Parameters
     ----------
     endpoint : str
-        Id that the endpoint must have, else it refuses.
+        Id of the endpoint; an endpoint with another id rejects the attempt.
     version : int or None
-        Version of the model that it must have, else it refuses; None: any.
+        Version of the model; an endpoint with another version rejects the attempt.
+        None allows any version.
     left_s : float
-        Time that is left, in seconds.
+        Remaining time, in seconds.
     urgency : int
-        Rank among the endpoint's calls; 0 goes first.
+        Priority among the endpoint's calls; 0 is the most urgent.
     after_event : str or None
-        Id of the last event that the caller has of a stream that is continued.
+        Id of the last event that the caller has of a resumed stream.
     account : str
-        Name of the client account whose call it is; empty where there is none.
+        Name of the client account of the call; empty if there is none.
     is_keyed : bool
-        Whether callers show keys here, which are not passed on.
+        Whether callers send keys, which are not forwarded.
     """
 
     endpoint: str
@@ -119,34 +120,36 @@
 
 @dataclass(slots=True, frozen=True)
 class ResponseDetails:
-    """What the head of an endpoint's answer proves.
+    """Details in the head of an endpoint's response.
 
     Parameters
     ----------
     not_run : bool
-        The endpoint says that it did not run the call.
+        Whether the endpoint states that it did not run the call.
     genuine : bool
-        The answer bears the endpoint's signature.
+        Whether the response has the endpoint's signature.
     stream : bool
-        The body is a stream of events.
+        Whether the body is a stream of events.
     wrong_endpoint : bool
-        Another endpoint, or another version of the model, or none, stands there.
+        Whether another endpoint, another version of the model or no endpoint listens
+        at the address.
     endpoint : str or None
-        Id of the endpoint that answered, where it is told.
+        Id of the endpoint that responded; None if it is not stated.
     limit_per_s : float or None
-        Calls a second that the endpoint takes from all daemons together; None: it
-        names no limit.
+        Rate limit of the endpoint for all daemons together, in calls per second; None
+        if it states none.
     leaves : bool
-        The endpoint says that it leaves.
+        Whether the endpoint states that it is draining.
     retry_after_s : float or None
-        For how long it wants nothing from this daemon; None: it asks for no rest.
+        How long this daemon must not send calls to the endpoint; None if it asks for
+        no pause.
     turned_away : bool
-        The endpoint had no room for the call.
+        Whether the endpoint rejected the call because it was at capacity.
     brittle_per_s : float or None
-        Calls a second that the endpoint can turn away, of all daemons together, before
-        it falls over; None: it says nothing of that.
+        Calls per second from all daemons together that the endpoint can reject before
+        it becomes overloaded; None if it states none.
     unreadable : tuple of str
-        What the answer tells in a form that cannot be read.
+        Header values that could not be decoded.
     """
 
     not_run: bool
@@ -164,16 +167,16 @@
 
 @dataclass(slots=True, frozen=True)
 class Refusal:
-    """An answer of ours that says a call was not run, or failed.
+    """Response of this daemon to a call that was refused or failed.
 
     Parameters
     ----------
     status : int
         HTTP status.
     reason : str
-        Stable word for the cause.
+        Stable identifier of the cause.
     retry_after_s : float or None
-        When the caller should come back; None: nothing is said.
+        When the caller should retry; None if nothing is stated.
     """
 
     status: int
@@ -182,79 +185,110 @@
 
 
 class CallerDialect(ABC):
-    """What callers and the platform's balancer speak."""
+    """Protocol of callers and the platform's load balancer.
+
+    Attributes
+    ----------
+    ready_path : str
+        Path of the readiness check.
+    """
 
     ready_path: str
 
     @abstractmethod
     def read_call(self, head: RequestHead) -> CallDetails:
-        """Decode a call; raises DialectError where a value cannot be read."""
+        """Decode a call.
+
+        Raises
+        ------
+        DialectError
+            If a value cannot be decoded.
+        """
 
     @abstractmethod
     def refusal(self, refusal: Refusal) -> tuple[Headers, bytes]:
-        """Encode an answer of ours."""
+        """Encode the headers and the body of a refusal."""
 
 
 class EndpointDialect(ABC):
-    """What endpoints speak."""
+    """Protocol of endpoints."""
 
     @abstractmethod
     def attempt_headers(self, call: RequestHead, details: AttemptDetails) -> Headers:
-        """Return the headers of an attempt, the caller's and ours."""
+        """Return the headers of an attempt: those of the caller and added ones."""
 
     @abstractmethod
     def matches_call(self, call_id: str, headers: Headers) -> bool:
-        """Tell whether an answer's headers name the call."""
+        """Return whether the headers of a response name the call."""
 
     @abstractmethod
     def read_response(self, head: ResponseHead) -> ResponseDetails:
-        """Decode the head of an answer."""
+        """Decode the head of a response."""
 
     @abstractmethod
     def order(
         self, order: Order, endpoint: str, address: str, holder: str, number: int
     ) -> WireRequest:
-        """Encode an order."""
+        """Encode a request with an order to an endpoint."""
 
     @abstractmethod
     def read_order_answer(self, head: ResponseHead, body: bytes) -> OrderAnswer:
-        """Decode an endpoint's answer to an order."""
+        """Decode an endpoint's response to an order."""
 
     @abstractmethod
     def health(self, address: str, endpoint: str, path: str) -> WireRequest:
-        """Encode the question for an endpoint's health, which no other answers."""
+        """Encode a health check, to which no other endpoint responds."""
 
     @abstractmethod
     def report(self, address: str) -> WireRequest:
-        """Encode the question for a report."""
+        """Encode a request for a report."""
 
     @abstractmethod
     def read_report(self, body: bytes) -> EngineReport:
-        """Decode a report; raises DialectError."""
+        """Decode a report.
+
+        Raises
+        ------
+        DialectError
+            If it cannot be decoded.
+        """
 
 
 class StoreDialect(ABC):
-    """What stands in the platform's store, and under which keys.
+    """Keys and values of the platform's store.
 
-    Parameters
+    Attributes
     ----------
     prefix : str
-        What all keys that serving needs begin with, the daemons' own among them.
+        Common prefix of all keys needed for serving, including those of daemons.
     """
 
     prefix: str
 
     @abstractmethod
     def read(self, key: str, value: bytes | None, revision: int) -> StoreEvent | None:
-        """Decode an item, or a removed key where ``value`` is None.
-
-        Returns None for what serving does not need; raises DialectError.
+        """Decode a change of a key.
+
+        Parameters
+        ----------
+        value : bytes or None
+            New value; None if the key was deleted.
+
+        Returns
+        -------
+        event : StoreEvent or None
+            Store event; None if the key is not needed for serving.
+
+        Raises
+        ------
+        DialectError
+            If the value cannot be decoded.
         """
 
 
 @dataclass(slots=True, frozen=True)
 class Dialects:
-    """All that one platform speaks."""
+    """Dialects and store of one platform."""
 
     callers: CallerDialect
     endpoints: EndpointDialect
@@ -265,47 +299,56 @@
 
 @dataclass(slots=True, frozen=True)
 class DaemonKeys:
-    """Keys under which daemons keep what they agree on."""
+    """Keys of the records that daemons share in the store."""
 
     prefix: str = "knapweedbridge/"
 
     def daemon(self, name: str) -> str:
-        """Key of a daemon's record."""
+        """Return the key of a daemon's record."""
         return f"{self.prefix}daemons/{name}"
 
     def owner(self, endpoint: str) -> str:
-        """Key of an engine's owner record."""
+        """Return the key of an engine's owner record."""
         return f"{self.prefix}owners/{endpoint}"
 
     def protocol(self, name: str) -> str:
-        """Key under which a daemon says which protocol it speaks."""
+        """Return the key of the protocol version that a daemon supports."""
         return f"{self.prefix}protocols/{name}"
 
     def software(self, service: str) -> str:
-        """Key of the software versions of a service that serve side by side."""
+        """Return the key of the software versions that a service runs in parallel."""
         return f"{self.prefix}software/{service}"
 
     def links(self, name: str) -> str:
-        """Key under which a daemon says that its host reaches no endpoint."""
+        """Return the key under which a daemon records that it reaches no endpoint."""
         return f"{self.prefix}links/{name}"
 
     def refused_call(self, mark: str) -> str:
-        """Key under which daemons say that a call is refused."""
+        """Return the key under which daemons record that a call is refused."""
         return f"{self.prefix}refused/{mark}"
 
     @property
     def secret(self) -> str:
-        """Key of the secret that daemons share."""
+        """Key of the secret shared by all daemons."""
         return f"{self.prefix}secret"
 
 
 def load_dialects(module: str, store_address: str, timeout_s: float) -> Dialects:
-    """Import a platform's package and make its dialects.
+    """Import the package of a platform and create its dialects.
+
+    Parameters
+    ----------
+    module : str
+        Name of the package.
+    store_address : str
+        Address of the platform's store.
+    timeout_s : float
+        Timeout of requests to the store.
 
     Raises
     ------
     DialectError
-        If there is no such package.
+        If the package cannot be imported.
     """
     try:
         package = importlib.import_module(module)
--- a/packages/daemon/src/knapweedbridge_daemon/serving/endpoint_connector.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/endpoint_connector.py
@@ -1,4 +1,4 @@
-"""Opens connections to endpoints, by this host's links or through another host."""
+"""Connector to endpoints that connects directly or through another host."""
 
 import random
 from dataclasses import dataclass, field
@@ -19,30 +19,34 @@
 from knapweedbridge_daemon.serving.tunnels import Tunnels, TunnelStream
 
 HEDGE_S = 0.1
-"""Time after which another host is asked beside a direct connection that does not stand
-yet; it takes some milliseconds."""
+"""Time after which a tunnel through another host is tried in parallel with a direct
+connection that is not established yet; this normally takes a few milliseconds."""
 
-TRY_S = 0.5
-"""Pause between looks whether paths that are cut are back."""
+RETRY_INTERVAL_S = 0.5
+"""Interval between retries of unreachable paths."""
 
-TRY_SOON_S = 0.1
-"""The same while it is not sure yet which paths are cut."""
+UNCERTAIN_RETRY_INTERVAL_S = 0.1
+"""Retry interval while it is uncertain which paths are unreachable."""
 
 
 @dataclass(slots=True, eq=False)
 class DirectAttempt:
-    """One direct connection on its way, which outlives a call that waits no more.
+    """Attempt to connect directly, which continues if its call stops waiting.
 
     Parameters
     ----------
+    destination : Destination
+        Endpoint to connect to.
+    done : Event
+        Set once the attempt has succeeded or failed.
     stream : ClientStream or None
-        The connection, while nobody has taken it.
+        Connection, until it is used or added to the pool.
     error : NotSentError or None
-        Why there is none.
+        Reason for a failure.
     is_awaited : bool
-        Whether the one that began it still waits.
+        Whether the caller of the attempt is still waiting for it.
     is_reached : bool
-        Whether another host reached the endpoint meanwhile.
+        Whether another host has reached the endpoint in the meantime.
     """
 
     destination: Destination
@@ -54,16 +58,16 @@
 
 
 class EndpointConnector(Connector):
-    """Connects directly, and through another host where that does not stand.
+    """Connects directly, or through another host if that fails or is slow.
 
     Parameters
     ----------
     hub : Hub
-        The paths of this host, and its pool of connections.
+        Path states and connection pool of this host.
     tunnels : Tunnels
-        To other hosts.
+        Tunnels through other hosts.
     tasks : TaskGroup
-        Runs direct attempts to their end.
+        Task group in which direct attempts run.
     """
 
     def __init__(self, hub: Hub, tunnels: Tunnels, tasks: TaskGroup) -> None:
@@ -72,7 +76,7 @@
         self._tasks = tasks
         self._direct = DirectConnector()
         self._wake = anyio.Event()
-        self._checked: set[str] = set()
+        self._checking: set[str] = set()
 
     def may_reuse_tunnel(self, forwarder: str, address: str) -> bool:
         """See `Connector.may_reuse_tunnel`."""
@@ -83,52 +87,54 @@
         if destination.is_direct:
             return await self._connect_directly(destination)
         if self._hub.paths.is_cut(destination.address):
-            # Whether the own path is back is looked for beside the calls.
+            # `run` checks independently of calls whether the direct path works again.
             return await self._tunnels.open(destination)
         return await self._connect_either_way(destination)
 
     async def _connect_directly(self, destination: Destination) -> ClientStream:
-        attempt = self._begin(destination)
+        attempt = self._start_attempt(destination)
         if not self._hub.paths.is_cut(destination.address):
-            self._tasks.start_soon(self._check_slow, attempt)
+            self._tasks.start_soon(self._check_if_slow, attempt)
         try:
             await attempt.done.wait()
-            return self._take(attempt)
+            return self._take_stream(attempt)
         finally:
             attempt.is_awaited = False
-            self._release(attempt)
+            self._pool_unused(attempt)
 
     async def _connect_either_way(self, destination: Destination) -> ClientStream:
-        attempt = self._begin(destination)
+        attempt = self._start_attempt(destination)
         try:
             with anyio.move_on_after(HEDGE_S):
                 await attempt.done.wait()
             if attempt.stream is None:
                 self._hub.paths.record_doubt(destination.address, loop_time_s())
-            if attempt.stream is not None or not self._must_ask(destination):
+            if attempt.stream is not None or not self._needs_tunnel(destination):
                 await attempt.done.wait()
-                return self._take(attempt)
+                return self._take_stream(attempt)
             return await self._race(attempt)
         finally:
             attempt.is_awaited = False
-            self._release(attempt)
+            self._pool_unused(attempt)
 
-    def _must_ask(self, destination: Destination) -> bool:
-        """Return whether other hosts are asked for what a call does not reach."""
+    def _needs_tunnel(self, destination: Destination) -> bool:
+        """Return whether a call that has no connection yet also tries a tunnel."""
         hub, now_s = self._hub, loop_time_s()
-        is_blamed = hub.crashes.has_recent_failure(destination.endpoint, now_s)
-        return self._may_ask(destination) and (
-            is_blamed or hub.paths.may_be_unlinked(now_s)
+        has_failed_recently = hub.crashes.has_recent_failure(
+            destination.endpoint, now_s
+        )
+        return self._may_tunnel(destination) and (
+            has_failed_recently or hub.paths.may_be_unlinked(now_s)
         )
 
-    def _may_ask(self, destination: Destination) -> bool:
+    def _may_tunnel(self, destination: Destination) -> bool:
         return self._hub.paths.may_ask(destination.address, loop_time_s())
 
     async def _race(self, attempt: DirectAttempt) -> ClientStream:
         tunnel: TunnelStream | None = None
         failure: NotSentError | None = None
         async with anyio.create_task_group() as race:
-            race.start_soon(self._end_race, attempt, race.cancel_scope)
+            race.start_soon(self._cancel_when_connected, attempt, race.cancel_scope)
             try:
                 tunnel = await self._tunnels.open(attempt.destination)
             except NotSentError as error:
@@ -138,106 +144,108 @@
         if attempt.stream is not None:
             if tunnel is not None:
                 tunnel.close()
-            return self._take(attempt)
+            return self._take_stream(attempt)
         if tunnel is None:
             assert failure is not None and attempt.error is not None
-            self._note_unreached(attempt, failure)
+            self._record_unreached(attempt, failure)
             raise NotSentError(f"{attempt.error}; {failure}", failure.is_lost)
         attempt.is_reached = True
         if attempt.error is not None:
-            self._note_cut(attempt)
+            self._record_cut(attempt)
         return tunnel
 
     @staticmethod
-    async def _end_race(attempt: DirectAttempt, scope: anyio.CancelScope) -> None:
+    async def _cancel_when_connected(
+        attempt: DirectAttempt, scope: anyio.CancelScope
+    ) -> None:
         await attempt.done.wait()
         if attempt.stream is not None:
             scope.cancel()
 
-    def _begin(self, destination: Destination) -> DirectAttempt:
+    def _start_attempt(self, destination: Destination) -> DirectAttempt:
         attempt = DirectAttempt(destination)
-        self._tasks.start_soon(self._try, attempt)
+        self._tasks.start_soon(self._run_attempt, attempt)
         return attempt
 
-    async def _try(self, attempt: DirectAttempt) -> None:
+    async def _run_attempt(self, attempt: DirectAttempt) -> None:
         address = attempt.destination.address
         try:
             attempt.stream = await self._direct.connect(attempt.destination)
         except NotSentError as error:
             attempt.error = error
-            self._note_failure(attempt)
+            self._record_failure(attempt)
         else:
-            self._note_direct(address)
+            self._record_direct(address)
         attempt.done.set()
         if not attempt.is_awaited:
-            self._release(attempt)
+            self._pool_unused(attempt)
 
-    def _note_failure(self, attempt: DirectAttempt) -> None:
+    def _record_failure(self, attempt: DirectAttempt) -> None:
         address, now_s = attempt.destination.address, loop_time_s()
         if attempt.is_reached:
-            self._note_cut(attempt)
+            self._record_cut(attempt)
         elif self._hub.paths.is_cut(address):
             self._hub.paths.record_retry_failure(address, now_s)
             self._notify_changes()
         elif attempt.destination.is_direct and attempt.destination.endpoint:
-            self._tasks.start_soon(self._check, attempt)
+            self._tasks.start_soon(self._check_path, attempt)
 
-    async def _check_slow(self, attempt: DirectAttempt) -> None:
-        """Check an attempt that does not stand soon, before it has failed."""
+    async def _check_if_slow(self, attempt: DirectAttempt) -> None:
+        """Check the path of an attempt that is slow, before it has failed."""
         with anyio.move_on_after(HEDGE_S):
             await attempt.done.wait()
         if not attempt.done.is_set():
-            await self._check(attempt)
+            await self._check_path(attempt)
             if attempt.is_reached:
-                # A second opening packet: the first may be lost.
-                again = self._begin(attempt.destination)
-                again.is_awaited, again.is_reached = False, True
+                # Sends a second SYN, as the first may have been lost.
+                retry = self._start_attempt(attempt.destination)
+                retry.is_awaited, retry.is_reached = False, True
 
-    async def _check(self, attempt: DirectAttempt) -> None:
-        """See whether another host reaches what this one does not."""
+    async def _check_path(self, attempt: DirectAttempt) -> None:
+        """Check whether another host reaches an endpoint that this one does not."""
         address = attempt.destination.address
-        if address in self._checked or not self._may_ask(attempt.destination):
+        if address in self._checking or not self._may_tunnel(attempt.destination):
             return
-        self._checked.add(address)
+        self._checking.add(address)
         try:
             tunnel = await self._tunnels.open(attempt.destination)
         except NotSentError as failure:
-            self._note_unreached(attempt, failure)
+            self._record_unreached(attempt, failure)
             return
         finally:
-            self._checked.discard(address)
+            self._checking.discard(address)
         attempt.is_reached = True
         if attempt.error is not None:
-            self._note_cut(attempt)
+            self._record_cut(attempt)
         self._hub.pool.adopt(tunnel, address)
 
-    def _note_unreached(self, attempt: DirectAttempt, failure: NotSentError) -> None:
+    def _record_unreached(self, attempt: DirectAttempt, failure: NotSentError) -> None:
         if failure.is_lost:
             self._hub.paths.record_unreached(attempt.destination.address, loop_time_s())
 
     @staticmethod
-    def _take(attempt: DirectAttempt) -> ClientStream:
+    def _take_stream(attempt: DirectAttempt) -> ClientStream:
         if attempt.stream is None:
             assert attempt.error is not None
-            # Nobody was asked, so it is not known whether the endpoint is gone.
+            # No other host tried, so it is unknown whether the endpoint is gone.
             raise NotSentError(str(attempt.error), is_lost=False)
         stream, attempt.stream = attempt.stream, None
         return stream
 
-    def _release(self, attempt: DirectAttempt) -> None:
-        """Keep a connection that nobody waits for."""
+    def _pool_unused(self, attempt: DirectAttempt) -> None:
+        """Add an unused connection to the pool."""
         if attempt.stream is not None:
             stream, attempt.stream = attempt.stream, None
             self._hub.pool.adopt(stream, attempt.destination.address)
 
-    def _note_direct(self, address: str) -> None:
+    def _record_direct(self, address: str) -> None:
         if self._hub.paths.record_direct(address, loop_time_s()):
             self._hub.log.info(
                 "path.restored", address=address, still_cut=len(self._hub.paths)
             )
             self._notify_changes()
 
-    def _note_cut(self, attempt: DirectAttempt) -> None:
+    def _record_cut(self, attempt: DirectAttempt) -> None:
         destination = attempt.destination
         if self._hub.paths.record_cut(destination.address, loop_time_s()):
             self._hub.metrics.count("paths_cut")
@@ -255,7 +263,7 @@
         self._wake.set()
 
     async def run(self) -> None:
-        """Look whether paths that are cut are back, until cancelled."""
+        """Retry unreachable paths until cancelled."""
         paths = self._hub.paths
         while True:
             address = paths.next_to_try()
@@ -264,35 +272,39 @@
                 await self._wake.wait()
                 continue
             if paths.may_all_be_cut:
-                await self._try_others()
-            await self._look(Destination(address, is_direct=True))
+                await self._probe_others()
+            await self._probe(Destination(address, is_direct=True))
             are_known = paths.all_confirmed and not paths.may_all_be_cut
-            await anyio.sleep(TRY_S if are_known else TRY_SOON_S)
+            await anyio.sleep(
+                RETRY_INTERVAL_S if are_known else UNCERTAIN_RETRY_INTERVAL_S
+            )
 
-    async def _try_others(self) -> None:
-        """Try endpoints that were not found cut, as all links may be lost."""
+    async def _probe_others(self) -> None:
+        """Try paths that are not known to be cut, as all links may be lost."""
         paths = self._hub.paths
         others = [
             each
             for each in self._hub.cluster.fleet.engines()
             if not paths.is_cut(each.record.address)
         ]
-        some = random.sample(others, min(OTHERS_TO_TRY, len(others)))
-        found: list[bool] = []
+        sample = random.sample(others, min(OTHERS_TO_TRY, len(others)))
+        results: list[bool] = []
         async with anyio.create_task_group() as tasks:
-            for each in some:
+            for each in sample:
                 destination = Destination(each.record.address, each.name, True)
-                tasks.start_soon(self._look_for, destination, found)
-        if not any(found):
-            paths.record_other_failures(len(some))
+                tasks.start_soon(self._append_probe, destination, results)
+        if not any(results):
+            paths.record_other_failures(len(sample))
             self._notify_changes()
 
-    async def _look_for(self, destination: Destination, found: list[bool]) -> None:
-        found.append(await self._look(destination))
+    async def _append_probe(
+        self, destination: Destination, results: list[bool]
+    ) -> None:
+        results.append(await self._probe(destination))
 
-    async def _look(self, destination: Destination) -> bool:
-        """Try a direct connection, which is kept; return whether it stands."""
-        attempt = self._begin(destination)
+    async def _probe(self, destination: Destination) -> bool:
+        """Try a direct connection and pool it; return whether it succeeded."""
+        attempt = self._start_attempt(destination)
         attempt.is_awaited = False
         await attempt.done.wait()
         return attempt.error is None
--- a/packages/daemon/src/knapweedbridge_daemon/serving/http_bodies.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/http_bodies.py
@@ -1,32 +1,32 @@
-"""Bodies of HTTP/1.1 messages: where they end, and the bytes that they carry."""
+"""Decoders for the bodies of HTTP/1.1 messages."""
 
 import re
 from abc import ABC, abstractmethod
 
-MOST_CHUNK_LINE_BYTES = 4096
-MOST_TRAILER_BYTES = 65536
+MAX_CHUNK_LINE_BYTES = 4096
+MAX_TRAILER_BYTES = 65536
 
-MOST_DIGITS = 16
-"""Digits of a chunk's length."""
+MAX_SIZE_DIGITS = 16
+"""Maximum number of hexadecimal digits in a chunk size."""
 
-_DIGITS = re.compile(rb"[0-9A-Fa-f]+")
-_CHUNK_LINE = re.compile(rb"([0-9A-Fa-f]{1,16})[ \t]*(?:;[^\x00\r\n]*)?")
+_SIZE = re.compile(rb"[0-9A-Fa-f]+")
+_SIZE_LINE = re.compile(rb"([0-9A-Fa-f]{1,16})[ \t]*(?:;[^\x00\r\n]*)?")
 _TRAILER = re.compile(rb"[!#$%&'*+\-.^_`|~0-9A-Za-z]+:[^\x00\r\n]*")
 
 
 class BodyError(Exception):
-    """The bytes are no body of the framing that its head told."""
+    """Raised for bytes that violate the framing stated in the head."""
 
 
 class BodyDecoder(ABC):
-    """Takes the bytes that follow a head, and gives those of its body.
+    """Decodes the body from the bytes that follow a head.
 
-    Parameters
+    Attributes
     ----------
     is_complete : bool
-        Whether the body has come to its end.
+        Whether the end of the body was received.
     rest : bytes
-        What came after its end.
+        Bytes received after the end of the body.
     """
 
     is_complete: bool = False
@@ -34,52 +34,52 @@
 
     @abstractmethod
     def feed(self, data: bytes) -> bytes:
-        """Take received bytes, and return the body's among them.
+        """Decode received bytes and return the part of the body in them.
 
         Raises
         ------
         BodyError
-            If they break the framing.
+            If the bytes violate the framing.
         """
 
     def end(self) -> None:
-        """Take that the connection ended in order.
+        """Handle an orderly end of the connection.
 
         Raises
         ------
         BodyError
-            If the body was cut by that.
+            If this truncates the body.
         """
-        raise BodyError("cut before its end")
+        raise BodyError("truncated body")
 
 
 class LengthBody(BodyDecoder):
-    """A body whose length the head told.
+    """Body with a Content-Length.
 
     Parameters
     ----------
     length : int
-        In bytes.
+        Length of the body in bytes.
     """
 
     def __init__(self, length: int) -> None:
-        self._left = length
+        self._remaining = length
         self.is_complete = length == 0
 
     def feed(self, data: bytes) -> bytes:
         """See `BodyDecoder.feed`."""
-        left = self._left
-        if len(data) < left:
-            self._left = left - len(data)
+        remaining = self._remaining
+        if len(data) < remaining:
+            self._remaining = remaining - len(data)
             return data
-        self._left = 0
+        self._remaining = 0
         self.is_complete = True
-        self.rest += data[left:]
-        return data[:left]
+        self.rest += data[remaining:]
+        return data[:remaining]
 
 
 class UnboundedBody(BodyDecoder):
-    """A body that ends with its connection."""
+    """Body that extends to the end of the connection."""
 
     def feed(self, data: bytes) -> bytes:
         """See `BodyDecoder.feed`."""
@@ -91,40 +91,40 @@
 
 
 class ChunkedBody(BodyDecoder):
-    """A body in chunks, each with its length; trailers are checked and dropped."""
+    """Chunked body; trailers are validated and discarded."""
 
     def __init__(self) -> None:
-        self._held = b""
-        self._left = 0
-        self._wants_end = False
+        self._buffered = b""
+        self._remaining = 0
+        self._expects_chunk_end = False
         self._in_trailers = False
         self._trailer_bytes = 0
 
     def feed(self, data: bytes) -> bytes:
         """See `BodyDecoder.feed`."""
-        buffer = self._held + data if self._held else data
-        self._held = b""
+        buffer = self._buffered + data if self._buffered else data
+        self._buffered = b""
         parts: list[bytes] = []
         start = 0
-        if not (self._left or self._wants_end or self._in_trailers):
-            start = self._whole_chunks(buffer, start, parts)
+        if not (self._remaining or self._expects_chunk_end or self._in_trailers):
+            start = self._decode_whole_chunks(buffer, start, parts)
         while not self.is_complete:
-            end = self._step(buffer, start, parts)
+            end = self._decode_element(buffer, start, parts)
             if end == start:
                 break
             start = end
         if self.is_complete:
             self.rest += buffer[start:]
         else:
-            self._held = buffer[start:]
+            self._buffered = buffer[start:]
         return parts[0] if len(parts) == 1 else b"".join(parts)
 
     @staticmethod
-    def _whole_chunks(buffer: bytes, start: int, parts: list[bytes]) -> int:
-        """Read whole chunks, as most come, in few steps; returns where they end."""
+    def _decode_whole_chunks(buffer: bytes, start: int, parts: list[bytes]) -> int:
+        """Decode complete chunks, the common case; return where they end."""
         while True:
-            end = buffer.find(b"\r\n", start, start + MOST_DIGITS + 2)
-            if end < 0 or not _DIGITS.fullmatch(buffer, start, end):
+            end = buffer.find(b"\r\n", start, start + MAX_SIZE_DIGITS + 2)
+            if end < 0 or not _SIZE.fullmatch(buffer, start, end):
                 return start
             size = int(buffer[start:end], 16)
             stop = end + 2 + size
@@ -133,16 +133,16 @@
             parts.append(buffer[end + 2 : stop])
             start = stop + 2
 
-    def _step(self, buffer: bytes, start: int, parts: list[bytes]) -> int:
-        """Read one element of the framing; returns where the next one starts."""
-        if self._left:
+    def _decode_element(self, buffer: bytes, start: int, parts: list[bytes]) -> int:
+        """Decode one element of the framing; return where the next one starts."""
+        if self._remaining:
             return self._read_data(buffer, start, parts)
-        if self._wants_end:
-            return self._read_data_end(buffer, start)
+        if self._expects_chunk_end:
+            return self._read_chunk_end(buffer, start)
         end = buffer.find(b"\r\n", start)
         if end < 0:
-            if len(buffer) - start > MOST_CHUNK_LINE_BYTES:
-                raise BodyError("a line of a chunk is too long")
+            if len(buffer) - start > MAX_CHUNK_LINE_BYTES:
+                raise BodyError("chunk line is too long")
             return start
         if self._in_trailers:
             self._read_trailer(buffer[start:end])
@@ -151,33 +151,33 @@
         return end + 2
 
     def _read_data(self, buffer: bytes, start: int, parts: list[bytes]) -> int:
-        part = buffer[start : start + self._left]
+        part = buffer[start : start + self._remaining]
         if part:
             parts.append(part)
-            self._left -= len(part)
-            self._wants_end = not self._left
+            self._remaining -= len(part)
+            self._expects_chunk_end = not self._remaining
         return start + len(part)
 
-    def _read_data_end(self, buffer: bytes, start: int) -> int:
+    def _read_chunk_end(self, buffer: bytes, start: int) -> int:
         found = buffer[start : start + 2]
         if found == b"\r\n":
-            self._wants_end = False
+            self._expects_chunk_end = False
             return start + 2
         if found not in (b"", b"\r"):
-            raise BodyError("a chunk does not end where its length says")
+            raise BodyError("chunk data does not end where its size says")
         return start
 
     def _read_size(self, line: bytes) -> None:
-        found = _CHUNK_LINE.fullmatch(line)
+        found = _SIZE_LINE.fullmatch(line)
         if found is None:
-            raise BodyError("a chunk without a length")
-        self._left = int(found[1], 16)
-        self._in_trailers = not self._left
+            raise BodyError("invalid chunk size")
+        self._remaining = int(found[1], 16)
+        self._in_trailers = not self._remaining
 
     def _read_trailer(self, line: bytes) -> None:
         if not line:
             self.is_complete = True
             return
         self._trailer_bytes += len(line)
-        if self._trailer_bytes > MOST_TRAILER_BYTES or not _TRAILER.fullmatch(line):
-            raise BodyError("bad trailers")
+        if self._trailer_bytes > MAX_TRAILER_BYTES or not _TRAILER.fullmatch(line):
+            raise BodyError("invalid or oversized trailers")
--- a/packages/daemon/src/knapweedbridge_daemon/serving/http_client.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/http_client.py
@@ -1,4 +1,4 @@
-"""Connections to HTTP/1.1 servers: opened, kept while they are idle, lent."""
+"""Connection pool for HTTP/1.1 servers."""
 
 from abc import ABC, abstractmethod
 from collections import defaultdict, deque
@@ -30,22 +30,22 @@
 ]
 
 CONNECT_TIMEOUT_S = 0.6
-"""Bound on a new connection: way and handshake take a few ms, and a lost opening
-packet is sent again after a second, when another endpoint has long answered."""
+"""Timeout of a new connection. Round trip and handshake take a few ms, and a lost SYN
+is sent again after a second, by which time another endpoint would have responded."""
 
 
 @dataclass(slots=True, frozen=True)
 class Destination:
-    """Where a connection leads.
+    """Server that a connection leads to.
 
     Parameters
     ----------
     address : str
-        IP number and port.
+        IP address and port.
     endpoint : str
-        The endpoint that listens there; empty for other servers.
+        Endpoint that listens there; empty for other servers.
     is_direct : bool
-        Whether no other host may carry the connection.
+        Whether the connection must not be tunnelled through another host.
     """
 
     address: str
@@ -54,19 +54,25 @@
 
 
 class Connector(ABC):
-    """Opens the connections of a pool."""
+    """Opens connections for a pool."""
 
     @abstractmethod
     async def connect(self, destination: Destination) -> ClientStream:
-        """Open a connection; raises NotSentError if none can be made."""
+        """Open a connection.
+
+        Raises
+        ------
+        NotSentError
+            If no connection can be established.
+        """
 
     def may_reuse_tunnel(self, forwarder: str, address: str) -> bool:
-        """Return whether a connection that another host carries is used again."""
+        """Return whether a connection tunnelled through a host may be reused."""
         return False
 
 
 class DirectConnector(Connector):
-    """Opens connections of this host alone."""
+    """Opens connections directly from this host."""
 
     async def connect(self, destination: Destination) -> ByteStream:
         """See `Connector.connect`."""
@@ -80,12 +86,14 @@
 
 
 class ConnectionPool:
-    """Keeps idle connections by address.
+    """Pool of idle connections by address.
 
     Attributes
     ----------
     connector : Connector
-        Opens new ones.
+        Opens new connections.
+    opened, reused : int
+        How many connections were opened, and how often an idle one was reused.
     """
 
     def __init__(self) -> None:
@@ -98,14 +106,14 @@
     async def connection(
         self, destination: Destination
     ) -> AsyncGenerator[ClientConnection, None]:
-        """Lend a connection; it is kept if its last answer ended cleanly.
+        """Lend a connection; it returns to the pool if its last response ended cleanly.
 
         Raises
         ------
         NotSentError
-            If none can be made.
+            If no connection can be established.
         """
-        connection = await self._take(destination)
+        connection = await self._take_idle(destination)
         if connection is None:
             stream = await self.connector.connect(destination)
             self.opened += 1
@@ -123,13 +131,13 @@
                 await connection.aclose()
 
     def adopt(self, stream: ClientStream, address: str) -> None:
-        """Keep a connection on which nothing was sent yet."""
+        """Add a connection on which nothing was sent yet."""
         self.opened += 1
         connection = ClientConnection(stream, address)
-        connection.note_unused(loop_time_s())
+        connection.mark_unused(loop_time_s())
         self._idle[address].append(connection)
 
-    async def _take(self, destination: Destination) -> ClientConnection | None:
+    async def _take_idle(self, destination: Destination) -> ClientConnection | None:
         idle = self._idle[destination.address]
         for connection in reversed(list(idle)):
             if destination.is_direct and connection.forwarder:
@@ -151,9 +159,15 @@
         return self.connector.may_reuse_tunnel(forwarder, connection.address)
 
     async def close_idle(self, wanted: set[str] | None = None) -> None:
-        """Close connections whose idle life is over, or that lead elsewhere."""
+        """Close the idle connections that have expired or are no longer wanted.
+
+        Parameters
+        ----------
+        wanted : set of str or None
+            Addresses whose connections are kept; None keeps all addresses.
+        """
         now_s = loop_time_s()
-        over: list[ClientConnection] = []
+        expired: list[ClientConnection] = []
         for address, connections in list(self._idle.items()):
             is_wanted = wanted is None or address in wanted
             kept = [
@@ -161,12 +175,12 @@
                 for each in connections
                 if is_wanted and each.idle_until_s > now_s and self._is_carried(each)
             ]
-            over += [each for each in connections if each not in kept]
+            expired += [each for each in connections if each not in kept]
             self._idle[address] = deque(kept)
             if not kept:
                 del self._idle[address]
-        # Closed last: while one closes, another task may take a connection.
-        for connection in over:
+        # Closed last, as other tasks may take a connection while one is closing.
+        for connection in expired:
             await connection.aclose()
 
     async def close_idle_to(self, address: str) -> None:
--- a/packages/daemon/src/knapweedbridge_daemon/serving/http_heads.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/http_heads.py
@@ -1,9 +1,10 @@
-"""Heads of HTTP/1.1 messages: read by httptools, checked, and written.
+"""Parsing, validation and encoding of the heads of HTTP/1.1 messages.
 
-httptools refuses control characters, bad names, folded lines, line ends without a
-carriage return and two framings in headers. What it lets pass and two readers could
-take differently is refused here: request lines with other spaces or without a version,
-other versions, requests without their one Host, and codings other than ``chunked``.
+httptools rejects control characters, invalid names, folded lines, line ends without a
+carriage return and two framings in headers. Whatever it accepts that two parsers could
+interpret differently is rejected here: request lines with other whitespace or without
+a version, other versions, requests without exactly one Host, and transfer codings other
+than ``chunked``.
 """
 
 import re
@@ -25,19 +26,19 @@
     rb"([!#$%&'*+\-.^_`|~0-9A-Za-z]+) ([\x21-\x7e]+) HTTP/1\.([01])\r\n"
 )
 _STATUS_LINE = re.compile(rb"HTTP/1\.([01]) ([1-9][0-9]{2})(?: ([^\x00\r\n]*))?\r\n")
-_PADDED = re.compile(rb"[ \t]\r\n")
-_MARKED = frozenset(
+_TRAILING_WHITESPACE = re.compile(rb"[ \t]\r\n")
+_CHECKED_HEADERS = frozenset(
     {b"content-length", b"transfer-encoding", b"connection", b"expect", b"host"}
 )
 
 
 class HeadError(Exception):
-    """The bytes are no head, or one that could be read in two ways.
+    """Raised for bytes that are not a valid head, or an ambiguous one.
 
     Parameters
     ----------
     status : int
-        HTTP status that a request with this head is answered with.
+        HTTP status of the response to a request with this head.
     """
 
     def __init__(self, message: str, status: int = 400) -> None:
@@ -47,22 +48,22 @@
 
 @dataclass(slots=True)
 class Framing:
-    """What a head tells of its message's end, and of the connection after it.
+    """Where a message ends, and whether the connection persists after it.
 
     Parameters
     ----------
     length : int or None
-        Length of the body in bytes; None: it is not told.
+        Length of the body in bytes; None if the head does not state it.
     is_chunked : bool
-        Whether the body comes in chunks.
+        Whether the body is chunked.
     closes : bool
-        Whether the connection ends after the message.
+        Whether the connection is closed after the message.
     is_http10 : bool
-        Whether the sender speaks HTTP/1.0, which knows no chunks.
+        Whether the sender uses HTTP/1.0, which has no chunked coding.
     expects_continue : bool
-        Whether the caller waits for a word before it sends the body.
+        Whether the caller waits for "100 Continue" before it sends the body.
     hosts : int
-        Host headers.
+        Number of Host headers.
     """
 
     length: int | None = None
@@ -74,7 +75,7 @@
 
 
 class _HeaderList:
-    """Takes the headers that httptools reads."""
+    """Collects the headers that httptools parses."""
 
     __slots__ = ("headers", "on_header")
 
@@ -85,73 +86,73 @@
 
 
 def read_request_head(block: bytes) -> tuple[RequestHead, Framing]:
-    """Read the head of a request, from its first byte to its empty line.
+    """Parse the head of a request, including the empty line at its end.
 
     Raises
     ------
     HeadError
-        If it is refused.
+        If the head is invalid or ambiguous.
     """
     line = _REQUEST_LINE.match(block)
     if line is None:
-        raise HeadError("no request line of HTTP/1.1")
+        raise HeadError("invalid HTTP/1.1 request line")
     method = line[1]
     try:
         headers = _read_headers(httptools.HttpRequestParser, block)
     except httptools.HttpParserInvalidMethodError:
-        # httptools knows a list of methods; any token is one.
+        # httptools accepts a fixed list of methods, but any token is valid.
         known = b"GET" + block[len(method) :]
         headers = _read_headers(httptools.HttpRequestParser, known)
     framing = _find_framing(headers, line[3] == b"0")
     if framing.hosts > 1 or not (framing.hosts or framing.is_http10):
-        raise HeadError("not one Host")
+        raise HeadError(f"{framing.hosts} Host headers instead of one")
     return RequestHead(method, line[2], headers), framing
 
 
 def read_response_head(block: bytes) -> tuple[ResponseHead, Framing]:
-    """Read the head of a response, from its first byte to its empty line.
+    """Parse the head of a response, including the empty line at its end.
 
     Raises
     ------
     HeadError
-        If it is refused.
+        If the head is invalid or ambiguous.
     """
     line = _STATUS_LINE.match(block)
     if line is None:
-        raise HeadError("no status line of HTTP/1.1")
+        raise HeadError("invalid HTTP/1.1 status line")
     headers = _read_headers(httptools.HttpResponseParser, block)
     framing = _find_framing(headers, line[1] == b"0")
     return ResponseHead(int(line[2]), headers, line[3] or b""), framing
 
 
 def _read_headers(parser: type, block: bytes) -> Headers:
-    taken = _HeaderList()
+    collected = _HeaderList()
     try:
-        parser(taken).feed_data(block)
+        parser(collected).feed_data(block)
     except httptools.HttpParserUpgrade:
-        # The head was read whole; a change of protocol is not offered or taken.
+        # The head was parsed completely; protocol upgrades are not supported.
         pass
     except httptools.HttpParserInvalidMethodError:
         raise
     except httptools.HttpParserError as error:
         raise HeadError(str(error)) from error
-    if _PADDED.search(block) is None:
-        return taken.headers
-    return [(name, value.rstrip(b" \t")) for name, value in taken.headers]
+    if _TRAILING_WHITESPACE.search(block) is None:
+        return collected.headers
+    return [(name, value.rstrip(b" \t")) for name, value in collected.headers]
 
 
 def _find_framing(headers: Headers, is_http10: bool) -> Framing:
     framing = Framing(closes=is_http10, is_http10=is_http10)
     for key, value in headers:
         name = key.lower()
-        if name in _MARKED:
-            _note_marked(framing, name, value)
+        if name in _CHECKED_HEADERS:
+            _apply_header(framing, name, value)
     if framing.is_chunked and framing.length is not None:
         raise HeadError("two framings in one message")
     return framing
 
 
-def _note_marked(framing: Framing, name: bytes, value: bytes) -> None:
+def _apply_header(framing: Framing, name: bytes, value: bytes) -> None:
     if name == b"host":
         framing.hosts += 1
     elif name == b"content-length":
@@ -161,7 +162,7 @@
         framing.length = length
     elif name == b"transfer-encoding":
         if framing.is_chunked or value.lower() != b"chunked":
-            raise HeadError("a coding other than chunked", 501)
+            raise HeadError("unsupported transfer coding", 501)
         framing.is_chunked = True
     elif name == b"connection":
         options = [part.strip() for part in value.lower().split(b",")]
@@ -171,21 +172,21 @@
 
 
 def request_body(framing: Framing) -> BodyDecoder:
-    """Return what decodes a request's body; without a framing there is none."""
+    """Return the decoder of a request's body, which is empty without a framing."""
     if framing.is_chunked:
         return ChunkedBody()
     return LengthBody(framing.length or 0)
 
 
 def has_no_body(method: bytes, status: int) -> bool:
-    """Tell whether a response has no body, whatever its headers tell."""
+    """Return whether a response has no body, whatever its headers state."""
     if method == b"HEAD" or status in (204, 304) or status < 200:
         return True
     return method == b"CONNECT" and status < 300
 
 
 def response_body(method: bytes, status: int, framing: Framing) -> BodyDecoder:
-    """Return what decodes the body of a response to a request of some method."""
+    """Return the decoder of the body of a response to a request with this method."""
     if has_no_body(method, status):
         return LengthBody(0)
     if framing.is_chunked:
@@ -196,35 +197,41 @@
 
 
 def pack_head(first_line: bytes, headers: Headers) -> bytes:
-    """Write a head.
+    """Encode a head.
 
     Raises
     ------
     HeadError
-        If a value would end its line, and so write another header.
+        If a value contains a control character that could inject another header.
     """
     lines = [first_line]
     lines += [b"%b: %b" % pair for pair in headers]
     packed = b"\r\n".join(lines)
-    ends = len(headers)
-    if packed.count(b"\n") != ends or packed.count(b"\r") != ends or b"\0" in packed:
-        raise HeadError("a header with a control character")
+    line_ends = len(headers)
+    if (
+        packed.count(b"\n") != line_ends
+        or packed.count(b"\r") != line_ends
+        or b"\0" in packed
+    ):
+        raise HeadError("control character in a header")
     return packed + END_OF_HEAD
 
 
 def pack_request(head: RequestHead, body: bytes) -> bytes:
-    """Write a whole request.
+    """Encode a complete request.
 
     Raises
     ------
     HeadError
-        If its headers do not tell the length of its body, or cannot be written.
+        If its headers do not state the length of its body, or are invalid.
     """
     length = 0
     for key, value in head.headers:
         if key.lower() == b"content-length" and value.isdigit():
             length = int(value)
     if length != len(body):
-        raise HeadError("a request whose length is not told")
+        raise HeadError(
+            f"Content-Length is {length}, but the body has {len(body)} bytes"
+        )
     line = b"%b %b HTTP/1.1" % (head.method, head.target)
     return pack_head(line, head.headers) + body
--- a/packages/daemon/src/knapweedbridge_daemon/serving/http_server.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/http_server.py
@@ -1,8 +1,8 @@
-"""The callers' connections: answers requests, and sees when a caller leaves.
+"""HTTP/1.1 server that detects when a caller disconnects during a request.
 
-A web server library does not tell when a caller left while a call runs, nor lets an
-answer that breaks off end without looking complete. So this speaks by httptools over
-the event loop's transports.
+Web server libraries neither report that a caller disconnected while its request runs
+nor let a truncated response end without looking complete. This server therefore uses
+httptools directly on the transports of the event loop.
 """
 
 from collections.abc import Awaitable, Callable
@@ -35,20 +35,28 @@
 ]
 
 LINGER_S = 0.3
-"""How long a closing connection is read on: closing it with unread bytes would reset
-it, and the caller could lose an answer that was just written."""
+"""How long a closing connection is still read. Closing it with unread bytes would
+reset it, and the caller could lose a response that was just written."""
 
-FAULT_STATUS = 500
-"""Answer to a request that met an error of ours: it may have run."""
+INTERNAL_ERROR_STATUS = 500
+"""Status of the response after an internal error; the request may have run."""
 
 
 class CallerDisconnectedError(Exception):
-    """The caller's connection is gone."""
+    """Raised when the caller's connection is closed."""
 
 
 @dataclass(slots=True)
 class Responder:
-    """Writes the answer to one request."""
+    """Writes the response to one request.
+
+    Attributes
+    ----------
+    begun, ended : bool
+        Whether a response was started and whether its last part was passed on.
+    is_written : bool
+        Whether bytes of a response were passed to the connection.
+    """
 
     _connection: "CallerConnection"
     begun: bool = False
@@ -57,12 +65,12 @@
     _unsent: bytes = field(default=b"")
 
     async def start(self, head: ResponseHead) -> None:
-        """Take the head; it is written with the first part of the body."""
+        """Start a response; its head is written with the first part of the body."""
         self.begun = True
         self._unsent = self._connection.pack_head(head)
 
     async def send(self, data: bytes) -> None:
-        """Write a part of the body; waits until the kernel has all of it."""
+        """Write a part of the body and wait until the kernel has accepted it."""
         packed = self._connection.pack_data(data)
         if self._unsent:
             packed = self._unsent + packed
@@ -70,20 +78,20 @@
         await self._write(packed)
 
     async def end(self, data: bytes = b"") -> None:
-        """Write the last part, and the end of the answer."""
+        """Write the last part of the body and the end of the response."""
         packed = self._unsent
         if data:
             packed += self._connection.pack_data(data)
         packed += self._connection.pack_end()
         self._unsent = b""
-        # Told before the write: the caller may act on the answer at once.
+        # Set before the write, as the caller may act on the response at once.
         self.ended = True
         await self._write(packed)
 
     async def answer(
         self, status: int, headers: Headers, body: bytes, close: bool = False
     ) -> None:
-        """Write a whole answer of ours."""
+        """Write a complete response."""
         all_headers = [*headers, (b"Content-Length", b"%d" % len(body))]
         if close:
             all_headers.append((b"Connection", b"close"))
@@ -91,7 +99,7 @@
         await self.end(body)
 
     async def flush(self) -> None:
-        """Write a head that has been taken and not written yet."""
+        """Write a head that is still buffered."""
         if self._unsent:
             packed, self._unsent = self._unsent, b""
             await self._write(packed)
@@ -105,17 +113,25 @@
 
 
 class CallerConnection:
-    """One caller's connection, from its opening to its end."""
+    """Connection of one caller.
 
-    def __init__(self, face: "HttpServer", stream: SocketStream) -> None:
-        self._face = face
+    Parameters
+    ----------
+    server : HttpServer
+        Server that accepted the connection.
+    stream : SocketStream
+        Accepted connection.
+    """
+
+    def __init__(self, server: "HttpServer", stream: SocketStream) -> None:
+        self._server = server
         self._stream = stream
         self._wire = ByteStream.from_anyio(stream)
         self._reader = RequestReader(self._wire)
         self._packer = ResponsePacker(b"", Framing())
 
     async def serve(self) -> None:
-        """Answer requests until either side ends the connection."""
+        """Serve requests until either side closes the connection."""
         while True:
             try:
                 found = await self._read_request()
@@ -130,76 +146,85 @@
                 await self._linger()
                 return
             if self._reader.has_unread:
-                # A caller that sends many requests at once leaves other tasks a turn.
+                # Yields to other tasks between pipelined requests.
                 await checkpoint()
 
     def close(self) -> None:
-        """Close the connection; an answer that broke off does not look complete."""
+        """Close the connection.
+
+        It is reset if a truncated response would otherwise look complete.
+        """
         if self._packer.is_cut and self._packer.ends_by_close:
             self._wire.reset()
         else:
             self._wire.close()
 
     def close_idle(self) -> None:
-        """End the wait for a next request."""
+        """Stop waiting for the next request."""
         self._wire.end_reading()
 
     async def _read_request(self) -> tuple[ReceivedRequest, Framing] | None:
-        limits = self._face.limits()
+        limits = self._server.limits()
         self._packer = ResponsePacker(b"", Framing())
         if not self._reader.has_unread:
-            self._face.idle.add(self)
+            self._server.idle.add(self)
             try:
-                if not await self._reader.await_first(limits):
+                if not await self._reader.await_request(limits):
                     return None
             finally:
-                self._face.idle.discard(self)
+                self._server.idle.discard(self)
         return await self._reader.read(limits)
 
     async def _handle(self, request: ReceivedRequest, framing: Framing) -> bool:
-        """Run the handler; False where the connection must end."""
+        """Run the handler; return False if the connection must be closed."""
         if self._wire.has_ended:
             return False
         responder = Responder(self)
-        is_gone = False
-        # What comes early is the next request; a caller that sends on without end
-        # is not read further than one.
+        is_disconnected = False
+        # Bytes that arrive early belong to the next request; no more than one read
+        # buffer of them is taken from a caller that keeps sending.
         with anyio.CancelScope() as scope:
             self._wire.on_end = scope.cancel
             try:
-                await self._face.handler(request, responder)
+                await self._server.handler(request, responder)
             except CallerDisconnectedError:
-                is_gone = True
+                is_disconnected = True
             except Exception as error:
-                self._face.count_internal_error(error)
+                self._server.count_internal_error(error)
                 if not responder.is_written:
-                    # What was packed of the answer that failed does not count.
+                    # Discards what was encoded of the failed response.
                     self._packer = ResponsePacker(request.head.method, framing)
-                    await self._answer_fault(responder)
+                    await self._send_internal_error(responder)
             finally:
                 self._wire.on_end = None
-        return responder.ended and not (is_gone or self._wire.has_ended)
+        return responder.ended and not (is_disconnected or self._wire.has_ended)
 
     @staticmethod
-    async def _answer_fault(responder: Responder) -> None:
-        """Answer a request that met an error of ours before any byte was written."""
+    async def _send_internal_error(responder: Responder) -> None:
+        """Report an internal error that occurred before any byte was written."""
         with suppress(CallerDisconnectedError):
-            await responder.answer(FAULT_STATUS, [], b"", close=True)
+            await responder.answer(INTERNAL_ERROR_STATUS, [], b"", close=True)
 
     def pack_head(self, head: ResponseHead) -> bytes:
-        """Encode the head of an answer."""
-        return self._packer.head(head, self._face.closing)
+        """Encode the head of a response."""
+        return self._packer.head(head, self._server.closing)
 
     def pack_data(self, data: bytes) -> bytes:
-        """Encode a part of a body."""
+        """Encode a part of the body."""
         return self._packer.data(data)
 
     def pack_end(self) -> bytes:
-        """Encode the end of an answer."""
+        """Encode the end of a response."""
         return self._packer.end()
 
     async def write(self, packed: bytes) -> None:
-        """Write encoded bytes; raises CallerDisconnectedError if nobody is there."""
+        """Write encoded bytes.
+
+        Raises
+        ------
+        CallerDisconnectedError
+            If the connection is closed.
+        """
         if not packed:
             return
         try:
@@ -208,7 +233,7 @@
             raise CallerDisconnectedError(repr(error)) from error
 
     async def _refuse(self, error: BadRequestError) -> None:
-        self._face.count_bad_request(error)
+        self._server.count_bad_request(error)
         try:
             await Responder(self).answer(error.status, [], b"", close=True)
         except CallerDisconnectedError:
@@ -217,28 +242,37 @@
 
     async def _linger(self) -> None:
         if self._packer.is_cut:
-            # Broken off midway: the end must not look like one.
+            # The response is truncated, and its end must not look orderly.
             return
         self._wire.send_eof()
-        due_s = loop_time_s() + LINGER_S
+        deadline_s = loop_time_s() + LINGER_S
         with suppress(ConnectionError, TimeoutError):
-            while await self._wire.receive_by(due_s):
+            while await self._wire.receive_by(deadline_s):
                 pass
 
 
 class HttpServer:
-    """Accepts callers' connections and hands their requests to a handler.
+    """Serves callers' connections and passes their requests to a handler.
 
     Parameters
     ----------
     handler : callable
-        Answers one request.
+        Responds to one request.
     limits : callable
-        Returns the bounds in force.
+        Returns the limits that currently apply to requests.
     count_bad_request : callable
-        Takes each request that could not be read.
+        Called with the error of each request that could not be read.
     count_internal_error : callable
-        Takes each error of the daemon's own code.
+        Called with each error raised by the daemon's own code.
+
+    Attributes
+    ----------
+    closing : bool
+        Whether connections are closed after their next response.
+    open_connections : int
+        Number of open connections.
+    idle : set of CallerConnection
+        Connections without a request in progress.
     """
 
     def __init__(
@@ -257,19 +291,19 @@
         self.idle: set[CallerConnection] = set()
 
     def close_idle(self) -> None:
-        """Close the connections on which no request is under way."""
+        """Close the connections that have no request in progress."""
         for connection in list(self.idle):
             connection.close_idle()
 
     async def serve(self, stream: SocketStream) -> None:
-        """Serve one connection to its end."""
+        """Serve one connection until it is closed."""
         self.open_connections += 1
         try:
             connection = CallerConnection(self, stream)
             with closing(connection):
                 await connection.serve()
         except Exception as error:
-            # An error outside any request costs this caller its connection only.
+            # An error outside any request only closes this caller's connection.
             self.count_internal_error(error)
         finally:
             self.open_connections -= 1
--- a/packages/daemon/src/knapweedbridge_daemon/serving/request_reading.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/request_reading.py
@@ -1,4 +1,4 @@
-"""Reads the requests of one caller's connection, whole."""
+"""Reader for the requests on a caller's connection."""
 
 from contextlib import suppress
 from dataclasses import dataclass
@@ -21,12 +21,12 @@
 
 
 class BadRequestError(Exception):
-    """A request that cannot be read; it is answered and its connection closed.
+    """Raised for an invalid request, after which the connection is closed.
 
     Parameters
     ----------
     status : int
-        HTTP status of the answer.
+        HTTP status of the response.
     """
 
     def __init__(self, status: int, message: str) -> None:
@@ -36,18 +36,18 @@
 
 @dataclass(slots=True, frozen=True)
 class ReceivedRequest:
-    """A request, whole.
+    """Complete request.
 
     Parameters
     ----------
     head : RequestHead
-        Its first part.
+        Request line and headers.
     body : bytes
-        Its body.
+        Decoded body.
     received_s : float
-        When its head was read, on the daemon's clock.
+        Time at which the head was read, on the event loop's clock.
     sender : str
-        Network address that it came from, without a port; empty where that is unknown.
+        Network address of the sender, without a port; empty if unknown.
     """
 
     head: RequestHead
@@ -57,25 +57,25 @@
 
 
 class RequestReader:
-    """Reads requests one after another; what comes early is the next one's.
+    """Reads requests one after another, including pipelined ones.
 
     Parameters
     ----------
-    wire : ByteStream
-        The caller's connection.
+    stream : ByteStream
+        Connection of the caller.
     """
 
-    def __init__(self, wire: ByteStream) -> None:
-        self._wire = wire
+    def __init__(self, stream: ByteStream) -> None:
+        self._stream = stream
         self._unread = b""
 
     @property
     def has_unread(self) -> bool:
-        """Whether bytes of a next request came with the last one."""
+        """Whether bytes of the next request were received with the last one."""
         return bool(self._unread)
 
-    async def await_first(self, limits: RequestLimits) -> bool:
-        """Wait for a request's first bytes; False where none come."""
+    async def await_request(self, limits: RequestLimits) -> bool:
+        """Wait for the first bytes of a request; return False if none arrive."""
         try:
             self._unread = await self._receive(limits.idle_timeout_s)
         except TimeoutError:
@@ -85,14 +85,19 @@
     async def read(
         self, limits: RequestLimits
     ) -> tuple[ReceivedRequest, Framing] | None:
-        """Read a request whose first bytes came; None where the caller left.
+        """Read a request whose first bytes were received.
+
+        Returns
+        -------
+        request, framing : ReceivedRequest, Framing
+            The request; None instead of both if the caller disconnected.
 
         Raises
         ------
         BadRequestError
-            If it cannot be read.
+            If the request is invalid, too large or not received in time.
         """
-        block = await self._head_block(limits)
+        block = await self._read_head_block(limits)
         if block is None:
             return None
         try:
@@ -103,21 +108,21 @@
         body = await self._read_body(framing, limits)
         if body is None:
             return None
-        return ReceivedRequest(head, body, received_s, self._wire.peer_host), framing
+        return ReceivedRequest(head, body, received_s, self._stream.peer_host), framing
 
     async def _receive(self, within_s: float) -> bytes:
-        """Receive; nothing is returned where the connection ended in any way."""
+        """Receive bytes; return none if the connection ended in any way."""
         try:
-            return await self._wire.receive_by(loop_time_s() + within_s)
+            return await self._stream.receive_by(loop_time_s() + within_s)
         except ConnectionError:
             return b""
 
-    async def _head_block(self, limits: RequestLimits) -> bytes | None:
-        due_s: float | None = None
+    async def _read_head_block(self, limits: RequestLimits) -> bytes | None:
+        deadline_s: float | None = None
         searched = 0
         while True:
             if self._unread[0] < FIRST_PRINTABLE:
-                raise BadRequestError(400, "no request of HTTP/1.1")
+                raise BadRequestError(400, "not an HTTP/1.1 request")
             end = self._unread.find(END_OF_HEAD, searched)
             size = end if end >= 0 else len(self._unread)
             if size > limits.header_bytes:
@@ -128,9 +133,9 @@
                 raise BadRequestError(400, "line ends without a carriage return")
             searched = max(0, len(self._unread) - len(END_OF_HEAD) + 1)
             now_s = loop_time_s()
-            due_s = due_s or now_s + limits.header_timeout_s
+            deadline_s = deadline_s or now_s + limits.header_timeout_s
             try:
-                chunk = await self._receive(due_s - now_s)
+                chunk = await self._receive(deadline_s - now_s)
             except TimeoutError:
                 raise BadRequestError(408, "the head took too long") from None
             if not chunk:
@@ -145,7 +150,7 @@
             raise BadRequestError(413, "the body is too large")
         if framing.expects_continue:
             with suppress(ConnectionError):
-                await self._wire.send(CONTINUE)
+                await self._stream.send(CONTINUE)
         body = request_body(framing)
         parts: list[bytes] = []
         size = 0
--- a/packages/daemon/src/knapweedbridge_daemon/serving/wire.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/wire.py
@@ -1,9 +1,9 @@
-"""Heads of HTTP messages, as the forwarding code hands them on."""
+"""HTTP message heads and functions for their headers."""
 
 from dataclasses import dataclass
 
 Headers = list[tuple[bytes, bytes]]
-"""Names as they were sent and their values; lookups ignore the case of names."""
+"""Names, in the case they were sent in, and values; lookups ignore the case."""
 
 HOP_BY_HOP = frozenset(
     {
@@ -18,19 +18,19 @@
         b"upgrade",
     }
 )
-"""Headers that concern one connection and are not forwarded (RFC 9110, 7.6.1)."""
+"""Headers that apply to one connection and are not forwarded (RFC 9110, 7.6.1)."""
 
 
 @dataclass(slots=True, frozen=True)
 class RequestHead:
-    """First part of a request.
+    """Request line and headers of a request.
 
     Parameters
     ----------
     method, target : bytes
-        As the caller sent them; ``target`` is path and query.
+        As sent by the caller; ``target`` contains path and query.
     headers : list of (bytes, bytes)
-        In the order in which they came.
+        In the order received.
     """
 
     method: bytes
@@ -39,13 +39,13 @@
 
     @property
     def path(self) -> str:
-        """The path without its query."""
+        """Path without the query."""
         return self.target.partition(b"?")[0].decode("latin-1")
 
 
 @dataclass(slots=True, frozen=True)
 class WireRequest:
-    """A request of ours, whole."""
+    """Complete request sent by this daemon."""
 
     head: RequestHead
     body: bytes = b""
@@ -53,7 +53,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ResponseHead:
-    """First part of a response."""
+    """Status line and headers of a response."""
 
     status: int
     headers: Headers
@@ -61,12 +61,12 @@
 
 
 def get_header(headers: Headers, name: bytes) -> str | None:
-    """Return the first value of a header, or None.
+    """Return the first value of a header, or None if it is missing.
 
     Parameters
     ----------
     name : bytes
-        In lower case.
+        Name in lower case.
     """
     size = len(name)
     for key, value in headers:
@@ -76,19 +76,19 @@
 
 
 def connection_options(headers: Headers) -> set[bytes]:
-    """Return what the Connection headers name, in lower case."""
-    named: set[bytes] = set()
+    """Return the options of the Connection headers, in lower case."""
+    options: set[bytes] = set()
     for key, value in headers:
         if key.lower() == b"connection":
-            named.update(part.strip().lower() for part in value.split(b","))
-    return named
+            options.update(part.strip().lower() for part in value.split(b","))
+    return options
 
 
 def end_to_end(headers: Headers) -> Headers:
-    """Return the headers that are forwarded."""
+    """Return the headers that are forwarded, without hop-by-hop headers."""
     kept = [pair for pair in headers if pair[0].lower() not in HOP_BY_HOP]
     if len(kept) == len(headers):
-        # There is no Connection header, which could name others.
+        # Without a Connection header, no further headers are hop-by-hop.
         return kept
-    named = connection_options(headers)
-    return [pair for pair in kept if pair[0].lower() not in named]
+    options = connection_options(headers)
+    return [pair for pair in kept if pair[0].lower() not in options]
