--- a/packages/daemon/src/knapweedbridge_daemon/serving/store_update_codec.py
+++ b/packages/daemon/src/knapweedbridge_daemon/serving/store_update_codec.py
@@ -1,7 +1,7 @@
 """Compressed encoding of the updates that a relay sends to its subscribers.
 
-Some hosts have links of 5 Mbit/s. A relay that sends 23 kB/s of entries to each of 26
-subscribers saturates such a link: its own calls to the store time out, its lease
+Of 79 hosts some have links of 5 Mbit/s. A relay that sends 23 kB/s of entries to each
+of 26 subscribers saturates such a link: its own calls to the store time out, its lease
 expires, and its data centre learns of a configuration only after 5 s. Entries of
 engines are alike, and compressed together they take a fifth of their size.
 """
