--- a/packages/core/src/knapweedbridge_core/rings.py
+++ b/packages/core/src/knapweedbridge_core/rings.py
@@ -3,7 +3,7 @@
 The members are placed on several rings, each in its own order; the neighbours of a
 daemon are the members next to it on each ring. Being neighbours is therefore mutual,
 the number of neighbours does not grow with the pool, a change of the pool affects
-few of them, and news crosses the pool in few hops.
+few of them, and new information crosses the pool in few hops.
 """
 
 import hashlib
--- a/packages/core/src/knapweedbridge_core/serving/endpoint.py
+++ b/packages/core/src/knapweedbridge_core/serving/endpoint.py
@@ -167,8 +167,8 @@
     def listing(self) -> tuple[bool, bool, bool]:
         """Whether its entry can be parsed, says that it leaves, and exists.
 
-        A relay forwards an entry that changes this: its subscribers were told of the
-        removal.
+        A relay forwards an entry that changes this: its subscribers were notified of
+        the removal.
         """
         return self.usable, self.record.leaving, self.unlisted_s is None
 
@@ -237,9 +237,9 @@
 
     def is_new(self, message: EngineSnapshot) -> bool:
         """Return whether an owner's snapshot is newer than the last update applied."""
-        told = self.update_number, self.update_order
+        applied = self.update_number, self.update_order
         # A snapshot of the same order was requested, and made after the change.
-        return (message.number, message.order) >= told
+        return (message.number, message.order) >= applied
 
     def is_next(self, message: EngineDelta) -> bool:
         """Return whether a change directly follows the last update applied."""
@@ -263,7 +263,7 @@
         self.bases = set(message.bases)
 
     def record_reported_load(self, now_s: float) -> None:
-        """Record that the owner was told of this daemon's current calls."""
+        """Record that this daemon's current calls were reported to the owner."""
         self.counted.append(ReportedLoad(now_s, self.own_calls, self.own_unread_tokens))
 
     def _load_reported_by(self, now_s: float) -> ReportedLoad:
--- a/packages/core/src/knapweedbridge_core/serving/engine_calls.py
+++ b/packages/core/src/knapweedbridge_core/serving/engine_calls.py
@@ -50,8 +50,8 @@
         for daemon, known in list(self._by_daemon.items()):
             if now_s - known.heard_s > CALLS_MAX_AGE_S:
                 self.forget(daemon)
-        heard = (each.heard_s for each in self._by_daemon.values())
-        self._oldest_expires_s = min(heard, default=now_s) + CALLS_MAX_AGE_S
+        reported_s = (each.heard_s for each in self._by_daemon.values())
+        self._oldest_expires_s = min(reported_s, default=now_s) + CALLS_MAX_AGE_S
 
     def forget(self, daemon: str) -> None:
         """Remove the calls of a daemon that is gone."""
--- a/packages/core/src/knapweedbridge_core/serving/engine_updates.py
+++ b/packages/core/src/knapweedbridge_core/serving/engine_updates.py
@@ -43,17 +43,17 @@
         The engine.
     number : int
         The owner's fencing number.
-    keeper : EngineController
+    controller : EngineController
         State of the engine.
     """
 
     def __init__(
-        self, start: EndpointStart, number: int, keeper: EngineController
+        self, start: EndpointStart, number: int, controller: EngineController
     ) -> None:
         self._endpoint = start.endpoint
         self._started_ms = start.started_ms
         self._number = number
-        self._keeper = keeper
+        self._controller = controller
         self._order = 0
         self._sent_s = float("-inf")
         self._adapters_changed = True
@@ -130,7 +130,7 @@
         self._waiting = {
             model: daemons
             for model, daemons in self._waiting.items()
-            if not self._relays or model in self._keeper.wanted
+            if not self._relays or model in self._controller.wanted
         }
         new = (subscribers - self._subscribers) | self._need_snapshot
         if now_s - self._snapshot_s >= SNAPSHOT_INTERVAL_S:
@@ -162,7 +162,7 @@
         The calls by daemon would make up most of an update's bytes, so only sums are
         sent.
         """
-        load = self._keeper.load_by_daemon()
+        load = self._controller.load_by_daemon()
         calls = sum(each for each, _ in load.values())
         tokens = sum(each for _, each in load.values())
         of_all = replace(
@@ -185,20 +185,20 @@
     def _rows(self) -> dict[ModelRef, tuple[int, float]]:
         return {
             model: (place.version, place.ready_s)
-            for model, place in self._keeper.places.items()
+            for model, place in self._controller.places.items()
             if not place.leaving
         }
 
     def _snapshot(self, now_s: float) -> EngineSnapshot:
-        keeper = self._keeper
+        controller = self._controller
         held = [
             [
                 model.base,
                 model.adapter,
                 version,
                 ready_s - now_s,
-                keeper.users(model),
-                now_s - keeper.places[model].used_s,
+                controller.users(model),
+                now_s - controller.places[model].used_s,
             ]
             for model, (version, ready_s) in self._rows().items()
         ]
@@ -209,16 +209,16 @@
             held,
             0,
             0,
-            keeper.places_free(now_s),
-            keeper.wants,
-            sorted(keeper.bases),
-            keeper.times.cold_s,
+            controller.places_free(now_s),
+            controller.wants,
+            sorted(controller.bases),
+            controller.times.cold_s,
             self._started_ms,
-            self._keeper.long_prompts.per_s(now_s),
-            self._keeper.long_prompts.pace_tokens,
-            self._keeper.long_prompts.pace_scale,
-            keeper.times.at_once,
-            speed=keeper.speed.speed,
+            self._controller.long_prompts.per_s(now_s),
+            self._controller.long_prompts.pace_tokens,
+            self._controller.long_prompts.pace_scale,
+            controller.times.at_once,
+            speed=controller.speed.speed,
         )
 
     def _changes(self, now_s: float) -> EngineDelta:
@@ -239,12 +239,12 @@
             ],
             0,
             0,
-            self._keeper.places_free(now_s),
-            self._keeper.wants,
-            sorted(self._keeper.bases),
+            self._controller.places_free(now_s),
+            self._controller.wants,
+            sorted(self._controller.bases),
             self._started_ms,
-            self._keeper.long_prompts.per_s(now_s),
-            self._keeper.long_prompts.pace_tokens,
-            self._keeper.long_prompts.pace_scale,
-            speed=self._keeper.speed.speed,
+            self._controller.long_prompts.per_s(now_s),
+            self._controller.long_prompts.pace_tokens,
+            self._controller.long_prompts.pace_scale,
+            speed=self._controller.speed.speed,
         )
--- a/packages/core/src/knapweedbridge_core/serving/fleet.py
+++ b/packages/core/src/knapweedbridge_core/serving/fleet.py
@@ -116,7 +116,7 @@
         return endpoint
 
     def restarted(self, start: EndpointStart, now_s: float) -> bool:
-        """Record that an endpoint reports a new start; return whether it is news.
+        """Record that an endpoint reports a new start; return whether it was unknown.
 
         Its entry in the list follows about a second later. Without this, orders and
         adapters of the previous start would be attributed to it until then.
@@ -136,7 +136,7 @@
         return found
 
     def mark_unreadable(self, name: str) -> bool:
-        """Record that an endpoint's entry cannot be parsed; return whether it is news.
+        """Record that an endpoint's entry cannot be parsed; return whether this is new.
 
         Another writer may have overwritten the entry. The endpoint gets no new work
         until it writes its entry again; its running calls continue.
@@ -368,7 +368,7 @@
     def estimate_load(
         self, engines: list[Endpoint], daemons: int, small: bool, now_s: float
     ) -> None:
-        """Set an estimated load on the engines whose owners are not heard.
+        """Set an estimated load on the engines whose owners send no updates.
 
         Parameters
         ----------
@@ -386,7 +386,7 @@
     def _assume_mean_load(
         self, engines: list[Endpoint], daemons: int, now_s: float
     ) -> None:
-        """Assume that engines without news run the mean load of the pool.
+        """Assume that engines without updates run the mean load of the pool.
 
         If they counted as idle, each would get the next call of every daemon at once.
         The load of the engines in use is no measure, as a daemon uses the busy ones
--- a/packages/core/src/knapweedbridge_core/serving/messages.py
+++ b/packages/core/src/knapweedbridge_core/serving/messages.py
@@ -231,7 +231,7 @@
     ----------
     since, revision : int
         The update covers the changes after the first revision up to the second; 0: the
-        relay has not heard from the store recently.
+        relay has received nothing from the store recently.
     items : bytes
         Changed items, packed by the daemon's `store_telling`.
     engines : bytes
@@ -276,7 +276,7 @@
 
 @message(tag="ShareAsked")
 class QuotaRequest:
-    """A daemon requests units of an account's quota from a keeper of a part of it.
+    """A daemon requests units of an account's quota from a coordinator of a part of it.
 
     Parameters
     ----------
@@ -295,7 +295,7 @@
 
 @message(tag="ShareGiven")
 class QuotaResponse:
-    """A keeper grants units of its part of a quota, or says when to ask again.
+    """A coordinator grants units of its part of a quota, or says when to ask again.
 
     Parameters
     ----------
@@ -306,7 +306,7 @@
     wait_s : float
         Time until more may be available; 0.0: the request was granted in full.
     is_known : bool
-        Whether the keeper knows how much of its part is left.
+        Whether the coordinator knows how much of its part is left.
     """
 
     account: str
--- a/packages/core/src/knapweedbridge_core/serving/origin_messages.py
+++ b/packages/core/src/knapweedbridge_core/serving/origin_messages.py
@@ -5,7 +5,7 @@
 
 @message
 class OriginsRecorded:
-    """A daemon records the origins of streams at a keeper.
+    """A daemon records the origins of streams at a coordinator.
 
     Parameters
     ----------
@@ -19,7 +19,7 @@
 
 @message(tag="OriginAsked")
 class OriginRequest:
-    """A daemon asks a keeper which software version began a stream.
+    """A daemon asks a coordinator which software version began a stream.
 
     Parameters
     ----------
@@ -41,22 +41,22 @@
 
 @message(tag="OriginAnswered")
 class OriginResponse:
-    """A keeper answers a request for a stream's origin.
+    """A coordinator answers a request for a stream's origin.
 
     Parameters
     ----------
     ticket : int
         Ticket of the request.
     service : str
-        Service on which the stream began; empty if the keeper does not know.
+        Service on which the stream began; empty if the coordinator does not know.
     software : str or None
-        Version that began the stream; None if the keeper does not know.
+        Version that began the stream; None if the coordinator does not know.
     left_s : float
         Time until its caller's last attempt is over, in seconds.
     versions : list of str
         Versions of the requested service on which streams may have begun.
     is_current : bool
-        Whether the keeper knows all versions since the stream began.
+        Whether the coordinator knows all versions since the stream began.
     """
 
     ticket: int
--- a/packages/core/src/knapweedbridge_core/serving/paced_engines.py
+++ b/packages/core/src/knapweedbridge_core/serving/paced_engines.py
@@ -25,7 +25,7 @@
     def scales(self, excluded: Endpoint, now_s: float) -> list[float]:
         """Return the scales of the other engines of an engine's service.
 
-        Only of engines that accept new work; see `WindowPacing.heard`.
+        Only of engines that accept new work; see `WindowPacing.adopt_scales`.
         """
         return [
             endpoint.pace_scale
--- a/packages/core/src/knapweedbridge_core/serving/part_ledger.py
+++ b/packages/core/src/knapweedbridge_core/serving/part_ledger.py
@@ -1,10 +1,10 @@
 """Ledger of prompt parts that crash the endpoints which process them.
 
 The requests with such a part all differ, and most other requests that are lost with
-the endpoint are harmless. They can be told apart because no response ever starts on a
-deadly part: if an endpoint starts one and survives, all parts of that prompt are safe.
-The other parts are suspected with each loss. A part is refused after two losses by
-different requests, unless another part explains those losses.
+the endpoint are harmless. They can be distinguished because no response ever starts on
+a deadly part: if an endpoint starts one and survives, all parts of that prompt are
+safe. The other parts are suspected with each loss. A part is refused after two losses
+by different requests, unless another part explains those losses.
 """
 
 import math
--- a/packages/core/src/knapweedbridge_core/serving/permit_messages.py
+++ b/packages/core/src/knapweedbridge_core/serving/permit_messages.py
@@ -1,6 +1,6 @@
 """Messages between daemons about the rate limits of endpoints, and permits.
 
-Each endpoint has a keeper: the daemon that enforces its limit over all daemons.
+Each endpoint has a coordinator: the daemon that enforces its limit over all daemons.
 """
 
 from knapweedbridge_core.codec import message
@@ -8,7 +8,7 @@
 
 @message(tag="LimitHeard")
 class LimitReport:
-    """A daemon reports to an endpoint's keeper the limit that a response named.
+    """A daemon reports to an endpoint's coordinator the limit that a response named.
 
     Parameters
     ----------
@@ -31,7 +31,7 @@
 
 @message(tag="LimitTold")
 class LimitUpdate:
-    """A keeper publishes a limit or a relay forwards it; fields as in `LimitReport`."""
+    """A coordinator or a relay publishes a limit; fields as in `LimitReport`."""
 
     endpoint: str
     started_ms: int
@@ -41,7 +41,9 @@
 
 @message(tag="PermitAsked")
 class PermitRequest:
-    """A daemon requests a permit of an endpoint's keeper; fields as in `LimitReport`.
+    """A daemon requests a permit of an endpoint's coordinator.
+
+    Fields as in `LimitReport`.
 
     Parameters
     ----------
@@ -58,7 +60,7 @@
 
 @message(tag="PermitAnswered")
 class PermitResponse:
-    """A keeper answers a request for a permit.
+    """A coordinator answers a request for a permit.
 
     Parameters
     ----------
@@ -77,7 +79,7 @@
 
 @message(tag="RoomAsked")
 class CapacityRequest:
-    """A daemon asks a brittle endpoint's keeper whether it may send a call.
+    """A daemon asks a brittle endpoint's coordinator whether it may send a call.
 
     The response is a `PermitResponse`.
 
@@ -101,7 +103,7 @@
 
 @message(tag="TurnedAway")
 class CallRejected:
-    """A daemon notifies a brittle endpoint's keeper that it had no room for a call."""
+    """A daemon notifies a brittle endpoint's coordinator that it rejected a call."""
 
     endpoint: str
     started_ms: int
--- a/packages/core/src/knapweedbridge_core/serving/permits.py
+++ b/packages/core/src/knapweedbridge_core/serving/permits.py
@@ -1,7 +1,7 @@
 """Permits for requests to an endpoint that limits its requests a second.
 
-The limit holds for all daemons together. One of them, the keeper, grants permits at
-that rate, and each daemon requests one before it sends a request. A share for each
+The limit holds for all daemons together. One of them, the coordinator, grants permits
+at that rate, and each daemon requests one before it sends a request. A share for each
 daemon would not work: with many daemons and few requests, one request of each already
 exceeds the limit.
 """
@@ -17,11 +17,11 @@
 """Longest time between permits: only a response can show that a limit was lifted."""
 
 TAKE_OVER_S = 1.0
-"""How long a new keeper grants nothing, as its predecessor may not know of it yet."""
+"""How long a new coordinator grants nothing; its predecessor may not know of it yet."""
 
 UNLEASED_SHARE = 0.25
-"""Share of the limit that a keeper without a lease grants. Daemons that reach the store
-may use another keeper by then."""
+"""Share of the limit that a coordinator without a lease grants. Daemons that reach the
+store may use another coordinator by then."""
 
 LEAST_WAIT_S = 0.02
 """Shortest pause of a daemon before it asks again after it got no permit."""
@@ -30,7 +30,7 @@
 
 
 class PermitBucket:
-    """Token bucket for the permits of one endpoint, on the keeper's clock.
+    """Token bucket for the permits of one endpoint, on the coordinator's clock.
 
     Parameters
     ----------
@@ -104,7 +104,7 @@
     data_centre : str
         Data centre of the endpoint; a daemon there is preferred.
     candidates : dict of str to list of str
-        Daemons that may be keepers, by data centre.
+        Daemons that may be coordinators, by data centre.
     """
     local = candidates.get(data_centre)
     return choose(endpoint, local or [n for each in candidates.values() for n in each])
--- a/packages/core/src/knapweedbridge_core/serving/placement_choices.py
+++ b/packages/core/src/knapweedbridge_core/serving/placement_choices.py
@@ -88,7 +88,7 @@
     Parameters
     ----------
     over_s : float
-        Expected delay beyond the call's patience on the best engine, in seconds.
+        Expected delay beyond the call's longest wait on the best engine, in seconds.
     best : Endpoint
         The engine with the least cost.
     instead : SendTo, WaitFor or LoadOn
--- a/packages/core/src/knapweedbridge_core/serving/quota_balance.py
+++ b/packages/core/src/knapweedbridge_core/serving/quota_balance.py
@@ -13,14 +13,14 @@
 USE_WINDOW_S = 1.5
 """Time over which a daemon's own use is averaged."""
 
-SILENT_KEEPER_S = 0.15
-"""How long a keeper that did not reply is skipped."""
+SILENT_COORDINATOR_S = 0.15
+"""How long a coordinator that did not reply is skipped."""
 
 
 def nearest_first(
     asker: str, data_centre: str, coordinators: list[str], places: dict[str, str]
 ) -> list[str]:
-    """Order the keepers of an account for one daemon, nearest first.
+    """Order the coordinators of an account for one daemon, nearest first.
 
     Those of its data centre come first. Among them each daemon has another order, so
     that requests are spread.
@@ -44,7 +44,7 @@
         "_call_units",
         "_batches",
         "_skipped_until_s",
-        "_silent_keepers",
+        "_silent_coordinators",
         "_use_per_s",
         "_used_s",
     )
@@ -55,7 +55,7 @@
         self._call_units = 0
         self._used_s = float("-inf")
         self._skipped_until_s: dict[str, float] = {}
-        self._silent_keepers: set[str] = set()
+        self._silent_coordinators: set[str] = set()
 
     def held(self, now_s: float) -> int:
         """Return the unexpired units that are held."""
@@ -64,7 +64,7 @@
         return sum(units for _, units in self._batches)
 
     def put(self, units: int, now_s: float) -> None:
-        """Add units that a keeper granted or a request returned."""
+        """Add units that a coordinator granted or a request returned."""
         if units > 0:
             self._batches.append((now_s + UNIT_LIFETIME_S, units))
 
@@ -97,20 +97,20 @@
         units = int(self._use_per_s * decay * AHEAD_S)
         return units if units >= self._call_units else 0
 
-    def answered(self, keeper: str, given: QuotaGrant, now_s: float) -> None:
-        """Record a keeper's reply."""
+    def answered(self, coordinator: str, given: QuotaGrant, now_s: float) -> None:
+        """Record a coordinator's reply."""
         self.put(given.units, now_s)
-        self._silent_keepers.discard(keeper)
+        self._silent_coordinators.discard(coordinator)
         if given.wait_s:
-            self._skipped_until_s[keeper] = now_s + given.wait_s
+            self._skipped_until_s[coordinator] = now_s + given.wait_s
 
-    def unanswered(self, keeper: str, now_s: float) -> None:
-        """Record that a keeper did not reply."""
-        self._skipped_until_s[keeper] = now_s + SILENT_KEEPER_S
-        self._silent_keepers.add(keeper)
+    def unanswered(self, coordinator: str, now_s: float) -> None:
+        """Record that a coordinator did not reply."""
+        self._skipped_until_s[coordinator] = now_s + SILENT_COORDINATOR_S
+        self._silent_coordinators.add(coordinator)
 
     def next_coordinator(self, coordinators: list[str], now_s: float) -> str | None:
-        """Return the keeper to ask next, or None while none has units to grant."""
+        """Return the coordinator to ask next, or None while none has units to grant."""
         self._skipped_until_s = {
             name: until_s
             for name, until_s in self._skipped_until_s.items()
@@ -120,9 +120,9 @@
         return next(able, None)
 
     def has_silent_coordinator(self, coordinators: list[str]) -> bool:
-        """Return whether a keeper that may have units does not reply."""
-        return not self._silent_keepers.isdisjoint(coordinators)
+        """Return whether a coordinator that may have units does not reply."""
+        return not self._silent_coordinators.isdisjoint(coordinators)
 
     def wait_s(self, now_s: float) -> float:
-        """Return the seconds until a keeper may have units to grant again."""
+        """Return the seconds until a coordinator may have units to grant again."""
         return max(0.0, min(self._skipped_until_s.values(), default=now_s) - now_s)
--- a/packages/core/src/knapweedbridge_core/serving/quotas.py
+++ b/packages/core/src/knapweedbridge_core/serving/quotas.py
@@ -1,9 +1,10 @@
 """Quotas of client accounts, enforced over all daemons.
 
 An account's quota is divided into equal parts. Each part is a token bucket held by one
-daemon, its keeper, which grants units to the daemons that request them. The bound does
-not depend on what daemons know of each other: an unreachable part grants nothing, and a
-keeper that restarts begins with an empty bucket, so no burst is granted twice.
+daemon, its coordinator, which grants units to the daemons that request them. The bound
+does not depend on what daemons know of each other: an unreachable part grants nothing,
+and a coordinator that restarts begins with an empty bucket, so no burst is granted
+twice.
 """
 
 from dataclasses import dataclass
@@ -12,7 +13,7 @@
 from knapweedbridge_core.serving.accounts import Quota, QuotaUnit
 
 MAX_PARTS = 6
-"""Most parts of one quota. If one of six keepers is down, five sixths remain."""
+"""Most parts of one quota. If one of six coordinators is down, five sixths remain."""
 
 MIN_PART_UNITS_PER_S = {QuotaUnit.CALLS: 20.0, QuotaUnit.TOKENS: 20_000.0}
 """Lowest rate of a part of a divided quota. In a smaller part, a large request would
@@ -26,21 +27,22 @@
 BURST_SHARE = 0.6
 """Shares of the tolerance beyond a quota's rate that refill its parts steadily, and
 that parts grant as a burst. The rest covers the time in which two daemons both consider
-themselves the keeper of a part."""
+themselves the coordinator of a part."""
 
 MAX_OVERDRAFT_SHARE = 0.6
 """Largest overdraft of a part, as a share of its burst."""
 
 TAKE_OVER_S = 1.0
-"""How long a new keeper grants nothing, as its predecessor may not know of it yet."""
+"""How long a new coordinator grants nothing; its predecessor may not know of it yet."""
 
 AHEAD_S = 0.4
 """Units that a daemon prefetches, in seconds of its own recent use. Frequent requests
-of an account then wait for no reply, and a short loss of a keeper is not noticed."""
+of an account then wait for no reply, and a short loss of a coordinator goes
+unnoticed."""
 
 LEAST_WAIT_S = 0.1
-"""Shortest pause before a keeper with too few units is asked again. Otherwise every
-request beyond the quota would cause a message."""
+"""Shortest pause before a coordinator with too few units is asked again. Otherwise
+every request beyond the quota would cause a message."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -129,7 +131,7 @@
 
 @dataclass(slots=True, frozen=True)
 class QuotaGrant:
-    """Units that a keeper grants.
+    """Units that a coordinator grants.
 
     Parameters
     ----------
@@ -138,7 +140,7 @@
     wait_s : float
         Seconds until more may be available; 0.0: all requested units were granted.
     is_known : bool
-        Whether the keeper knows what is left. A keeper that does not know the account
+        Whether the coordinator knows what is left. One that does not know the account
         yet, or whose lease may have expired, does not: the account may be far below
         its quota.
     """
@@ -149,13 +151,13 @@
 
 
 class QuotaBucket:
-    """Token bucket for one part of an account's quota, at its keeper.
+    """Token bucket for one part of an account's quota, at its coordinator.
 
     Parameters
     ----------
     empty_s : float
-        When the bucket is empty. A new keeper does not know what its predecessor has
-        granted, so it starts empty and some time after it became the keeper.
+        When the bucket is empty. A new coordinator does not know what its predecessor
+        has granted, so it starts empty and some time after it became the coordinator.
     """
 
     __slots__ = ("_filled_s", "_level")
@@ -181,7 +183,7 @@
             Units to prefetch; granted only from the upper half of the bucket.
         """
         if now_s < self._filled_s:
-            # The previous keeper may still be granting units.
+            # The previous coordinator may still be granting units.
             return QuotaGrant(0, self._filled_s - now_s, is_known=False)
         self._fill(part, now_s)
         if needed and not self._covers(part, needed):
--- a/packages/core/src/knapweedbridge_core/serving/rejection_budget.py
+++ b/packages/core/src/knapweedbridge_core/serving/rejection_budget.py
@@ -21,7 +21,7 @@
 
 
 class RejectionBudget:
-    """Rejections that one endpoint can still afford, on the keeper's clock."""
+    """Rejections that one endpoint can still afford, on the coordinator's clock."""
 
     __slots__ = ("_sent_s", "_turned_away_s")
 
--- a/packages/core/src/knapweedbridge_core/serving/store_age.py
+++ b/packages/core/src/knapweedbridge_core/serving/store_age.py
@@ -76,17 +76,17 @@
         """Return the time until `is_stale`, unless more is confirmed before."""
         return max(0.0, STALE_S - self.age_s(now_s))
 
-    def relays_to_mark(self, heard: list[str], now_s: float) -> list[str]:
+    def relays_to_mark(self, relays: list[str], now_s: float) -> list[str]:
         """Return the relays to which this daemon sends a mark now.
 
-        This is the first of ``heard``, its own relay. While that one proves nothing,
+        This is the first of ``relays``, its own relay. While that one proves nothing,
         because its link is congested or the store does not answer it, it is all of
         them.
         """
-        self._relays = {relay: self._relays.get(relay, now_s) for relay in heard}
-        own = heard[:1]
+        self._relays = {relay: self._relays.get(relay, now_s) for relay in relays}
+        own = relays[:1]
         is_late = any(now_s - self._relays[relay] >= STALE_S for relay in own)
-        return heard if is_late else own
+        return relays if is_late else own
 
 
 class SubscriberMarks:
--- a/packages/core/src/knapweedbridge_core/serving/stream_origins.py
+++ b/packages/core/src/knapweedbridge_core/serving/stream_origins.py
@@ -2,8 +2,8 @@
 
 A stream continues only on the version that began it, and its caller may resume it at
 any host. While endpoints of several versions serve, the host that begins a stream
-therefore records its origin at a few other hosts, its keepers; a host that resumes a
-stream asks them.
+therefore records its origin at a few other hosts, its coordinators; a host that resumes
+a stream asks them.
 """
 
 import math
@@ -171,8 +171,8 @@
         """Whether no further answer is needed.
 
         Only a version that appeared just now can be unknown to a host with a current
-        view. Its streams are recorded at all keepers at once, so the answer of one that
-        knows of none holds for the others.
+        view. Its streams are recorded at all coordinators at once, so the answer of one
+        that knows of none holds for the others.
         """
         if self._found is not None or not self._pending:
             return True
@@ -184,7 +184,7 @@
 
         Without a record it is decidable only if all views contain the same single
         version and one of them is current. While none is current, another version may
-        have appeared; then all keepers must have answered, as one would have the
+        have appeared; then all coordinators must have answered, as one would have the
         record.
         """
         if self._found is not None:
--- a/packages/core/src/knapweedbridge_core/suspicion.py
+++ b/packages/core/src/knapweedbridge_core/suspicion.py
@@ -64,7 +64,7 @@
         ----------
         silent : int
             Number of members from which this daemon receives nothing. A daemon
-            that hears nobody cannot tell a dead pool from its own isolation,
+            that receives nothing cannot distinguish a dead pool from its own isolation,
             unless the pool is so small that being alone is the likely case.
         """
         if self.asked and len(self.failed) == len(self.asked):
