--- a/bench/peer_messages.py
+++ b/bench/peer_messages.py
@@ -214,7 +214,7 @@
             await anyio.sleep(MESSAGE_PAUSE_S)
 
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(owner._work_on)
+        tasks.start_soon(owner._run_passes)
         await anyio.sleep(0.01)
         taken_us = await measure_us(take_all) - await measure_us(pause_only)
         tasks.cancel_scope.cancel()
